--- a/Bench/Capacity/TableSlopes.cpp
+++ b/Bench/Capacity/TableSlopes.cpp
@@ -17,13 +17,13 @@
 struct BookWorld {
   VirtualTime Time;
   FakeTable Table{Time, 1};
-  std::shared_ptr<ClaimBook> Book;
+  std::shared_ptr<ClaimStore> Book;
 
   explicit BookWorld(Span window) {
     ClaimSettings settings;
     settings.Group.Window = window;
-    Book = std::make_shared<ClaimBook>(settings, "entry-1", Table.hooks(),
-                                       hooks());
+    Book = std::make_shared<ClaimStore>(settings, "entry-1", Table.hooks(),
+                                        hooks());
   }
 
   ClaimHooks hooks() {
@@ -83,8 +83,8 @@
   };
   held.reserve(n);
   auto before = heapBytes();
-  auto book = std::make_shared<ClaimBook>(ClaimSettings{}, "entry-1", table,
-                                          world.hooks());
+  auto book = std::make_shared<ClaimStore>(ClaimSettings{}, "entry-1", table,
+                                           world.hooks());
   for (std::size_t it = 0; it < n; ++it) {
     auto key = std::to_string(it);
     book->claim({"labels", key, "body", key}, [](const ClaimAnswer &) {});
@@ -120,7 +120,7 @@
   hooks.OnLost = [](const std::string &) {};
   NodeRecord self{"entry-x", "incarnation-x", "c", "p", "hall-a"};
   auto keeper =
-      std::make_shared<LeaseKeeper>(settings, self, table.hooks(), hooks);
+      std::make_shared<LeaseManager>(settings, self, table.hooks(), hooks);
   keeper->round(cells);
   time.advance(100ms);
   return microsOf([&] {
--- a/Bench/Core/ObedientCore.h
+++ b/Bench/Core/ObedientCore.h
@@ -15,7 +15,7 @@
 public:
   ObedientCore() : Core(unlimited()) {
     drive(LeaseChanged{LeaseMode::Held});
-    drive(TurnChanged{1, 1e6});
+    drive(LoadLimitChanged{1, 1e6});
   }
 
   void addReplica(ReplicaKey key, std::uint32_t slots, std::uint32_t batch) {
--- a/Bench/Core/Simulation.cpp
+++ b/Bench/Core/Simulation.cpp
@@ -89,7 +89,7 @@
     if (DomainKey domain = Work.ruledDomain(it))
       drive(RuleChanged{it, {domain}});
   }
-  drive(TurnChanged{1, Work.LoadsPerS});
+  drive(LoadLimitChanged{1, Work.LoadsPerS});
   for (ReplicaKey it = 1; it <= Nodes.size(); ++it)
     sendReport(it);
   setLease(mode);
--- a/Hemlockglade/Coordination/Claim/ClaimBook.cpp
+++ b/Hemlockglade/Coordination/Claim/ClaimStore.cpp
@@ -1,9 +1,9 @@
-#include "Hemlockglade/Coordination/Claim/ClaimBook.h"
+#include "Hemlockglade/Coordination/Claim/ClaimStore.h"
 
 namespace hemlockglade {
 
-ClaimBook::ClaimBook(const ClaimSettings &settings, std::string name,
-                     TableHooks table, ClaimHooks hooks)
+ClaimStore::ClaimStore(const ClaimSettings &settings, std::string name,
+                       TableHooks table, ClaimHooks hooks)
     : Settings(settings), Name(std::move(name)), Table(std::move(table)),
       Hooks(std::move(hooks)),
       Claims(std::make_shared<GroupCommit>(Settings.Group, Name + "/claim",
@@ -11,7 +11,7 @@
       Records(std::make_shared<GroupCommit>(Settings.Group, Name + "/outcome",
                                             Table, GroupHooks{Hooks.After})) {}
 
-void ClaimBook::claim(const ClaimRequest &request, OnAnswer done) {
+void ClaimStore::claim(const ClaimRequest &request, OnAnswer done) {
   auto attempt = std::make_shared<Attempt>();
   attempt->Row = ClaimRow::keyOf(request.Scope, request.Key);
   attempt->Value.RequestId = request.RequestId;
@@ -31,7 +31,7 @@
   send(attempt);
 }
 
-void ClaimBook::send(const AttemptPtr &attempt) {
+void ClaimStore::send(const AttemptPtr &attempt) {
   ++attempt->Tries;
   TableWrite write{attempt->Row, attempt->Expected, attempt->Value.text()};
   auto done = [self = shared_from_this(), attempt](auto result) {
@@ -50,8 +50,8 @@
   Table.Commit(std::move(transaction), std::move(done));
 }
 
-void ClaimBook::onSent(const AttemptPtr &attempt,
-                       tl::expected<std::uint64_t, TableError> result) {
+void ClaimStore::onSent(const AttemptPtr &attempt,
+                        tl::expected<std::uint64_t, TableError> result) {
   if (result) {
     ClaimAnswer answer;
     answer.Result = ClaimResult::Claimed;
@@ -69,7 +69,7 @@
   readBack(attempt);
 }
 
-void ClaimBook::readBack(const AttemptPtr &attempt) {
+void ClaimStore::readBack(const AttemptPtr &attempt) {
   {
     std::lock_guard lock(Mutex);
     ++Counts.Reads;
@@ -84,8 +84,8 @@
   });
 }
 
-void ClaimBook::onReadBack(const AttemptPtr &attempt,
-                           const std::optional<TableRow> &row) {
+void ClaimStore::onReadBack(const AttemptPtr &attempt,
+                            const std::optional<TableRow> &row) {
   ClaimAnswer answer;
   auto value = row ? ClaimRow::read(row->Value) : std::nullopt;
   if (value && value->Attempt == attempt->Value.Attempt) {
@@ -114,7 +114,7 @@
   finish(attempt, std::move(answer));
 }
 
-void ClaimBook::finish(const AttemptPtr &attempt, ClaimAnswer answer) {
+void ClaimStore::finish(const AttemptPtr &attempt, ClaimAnswer answer) {
   answer.Ticket.Row = attempt->Row;
   answer.Ticket.Attempt = attempt->Value.Attempt;
   answer.Ticket.BodyHash = attempt->Value.BodyHash;
@@ -136,7 +136,7 @@
     send(next);
 }
 
-void ClaimBook::record(const ClaimTicket &ticket, Outcome outcome) {
+void ClaimStore::record(const ClaimTicket &ticket, Outcome outcome) {
   auto record = std::make_shared<Record>();
   record->Row = ticket.Row;
   record->Expected = ticket.Version;
@@ -155,7 +155,7 @@
     sendRecord(record);
 }
 
-void ClaimBook::sendRecord(const RecordPtr &record) {
+void ClaimStore::sendRecord(const RecordPtr &record) {
   ++record->Tries;
   Records->add({record->Row, record->Expected, record->Value.text()},
                [self = shared_from_this(), record](auto result) {
@@ -163,8 +163,8 @@
                });
 }
 
-void ClaimBook::onRecordSent(const RecordPtr &record,
-                             tl::expected<std::uint64_t, TableError> result) {
+void ClaimStore::onRecordSent(const RecordPtr &record,
+                              tl::expected<std::uint64_t, TableError> result) {
   if (result)
     return endRecord(false);
   if (result.error() == TableError::Conflict)
@@ -172,7 +172,7 @@
   retryRecord(record);
 }
 
-void ClaimBook::readRecord(const RecordPtr &record) {
+void ClaimStore::readRecord(const RecordPtr &record) {
   {
     std::lock_guard lock(Mutex);
     ++Counts.Reads;
@@ -189,7 +189,7 @@
   });
 }
 
-void ClaimBook::retryRecord(const RecordPtr &record) {
+void ClaimStore::retryRecord(const RecordPtr &record) {
   if (record->Tries >= Settings.Tries)
     return endRecord(true);
   Hooks.After(Settings.OutcomeRetry, [self = weak_from_this(), record] {
@@ -198,13 +198,13 @@
   });
 }
 
-void ClaimBook::endRecord(bool dropped) {
+void ClaimStore::endRecord(bool dropped) {
   std::lock_guard lock(Mutex);
   --Recording;
   Counts.OutcomesDropped += dropped;
 }
 
-void ClaimBook::cleanUp(std::size_t index, std::size_t nodes) {
+void ClaimStore::cleanUp(std::size_t index, std::size_t nodes) {
   std::size_t slices = std::size_t(1) << (4 * Settings.SliceDigits);
   std::size_t slice = 0;
   {
@@ -224,7 +224,7 @@
              });
 }
 
-void ClaimBook::removeOld(const std::vector<TableRow> &rows) {
+void ClaimStore::removeOld(const std::vector<TableRow> &rows) {
   auto keep =
       std::chrono::duration_cast<std::chrono::milliseconds>(Settings.Keep);
   auto until = Hooks.WallMs() - keep.count();
@@ -252,14 +252,14 @@
                });
 }
 
-ClaimCounts ClaimBook::counts() const {
+ClaimCounts ClaimStore::counts() const {
   std::lock_guard lock(Mutex);
   auto out = Counts;
   out.Transactions += Claims->sent() + Records->sent();
   return out;
 }
 
-std::string ClaimBook::nextAttempt() {
+std::string ClaimStore::nextAttempt() {
   return Name + '/' + std::to_string(++Attempts);
 }
 
--- a/Hemlockglade/Coordination/Claim/ClaimBook.h
+++ b/Hemlockglade/Coordination/Claim/ClaimStore.h
@@ -10,12 +10,12 @@
 /// goes out. Each claim inserts a row if there is none; the row's attempt id
 /// tells whose it is when an answer was lost. A key whose request is recorded
 /// as not run may be claimed again. Safe to call from several threads.
-class ClaimBook : public std::enable_shared_from_this<ClaimBook> {
+class ClaimStore : public std::enable_shared_from_this<ClaimStore> {
 public:
   /// `name` must differ from that of each other book of the deployment, also
   /// after a restart: the node's name and incarnation.
-  ClaimBook(const ClaimSettings &settings, std::string name, TableHooks table,
-            ClaimHooks hooks);
+  ClaimStore(const ClaimSettings &settings, std::string name, TableHooks table,
+             ClaimHooks hooks);
 
   using OnAnswer = std::function<void(ClaimAnswer)>;
 
--- a/Hemlockglade/Coordination/Config/ConfigKeeper.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigReplicator.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Config/ConfigKeeper.h"
+#include "Hemlockglade/Coordination/Config/ConfigReplicator.h"
 
 #include "Hemlockglade/Coordination/Config/ConfigCommit.h"
 #include "Hemlockglade/Coordination/Config/ConfigObjects.h"
@@ -6,12 +6,13 @@
 
 namespace hemlockglade {
 
-ConfigKeeper::ConfigKeeper(const ConfigSettings &settings, ConfigHooks hooks)
+ConfigReplicator::ConfigReplicator(const ConfigSettings &settings,
+                                   ConfigHooks hooks)
     : Settings(settings), Hooks(std::move(hooks)),
       Snapshots(std::make_shared<SnapshotWriter>(Settings, Hooks)),
       History(Settings) {}
 
-void ConfigKeeper::round() {
+void ConfigReplicator::round() {
   bool look = false;
   bool alone = false;
   {
@@ -32,7 +33,7 @@
   catchUp();
 }
 
-void ConfigKeeper::learn(Revision number, const std::string &peer) {
+void ConfigReplicator::learn(Revision number, const std::string &peer) {
   {
     std::lock_guard lock(Mutex);
     Heard = true;
@@ -44,19 +45,19 @@
   catchUp();
 }
 
-Revision ConfigKeeper::newestHeard() const {
+Revision ConfigReplicator::newestHeard() const {
   auto inForce = current()->number();
   std::lock_guard lock(Mutex);
   return std::max(Target, inForce);
 }
 
-bool ConfigKeeper::caughtUp() const {
+bool ConfigReplicator::caughtUp() const {
   auto inForce = current()->number();
   std::lock_guard lock(Mutex);
   return Heard && inForce >= Target;
 }
 
-void ConfigKeeper::lookAtTable() {
+void ConfigReplicator::lookAtTable() {
   Hooks.Table.Get(std::string(ConfigHeadKey),
                   [self = shared_from_this()](auto row) {
                     if (!row)
@@ -68,7 +69,7 @@
                   });
 }
 
-void ConfigKeeper::onTableHead(const ConfigHead &head) {
+void ConfigReplicator::onTableHead(const ConfigHead &head) {
   {
     std::lock_guard lock(Mutex);
     Heard = true;
@@ -77,7 +78,7 @@
   catchUp();
 }
 
-void ConfigKeeper::catchUp() {
+void ConfigReplicator::catchUp() {
   auto inForce = current()->number();
   Source source;
   std::optional<std::string> peer;
@@ -94,7 +95,7 @@
   begin(peer ? source : Source::Table, std::move(peer));
 }
 
-void ConfigKeeper::begin(Source source, std::optional<std::string> peer) {
+void ConfigReplicator::begin(Source source, std::optional<std::string> peer) {
   std::uint64_t token = 0;
   {
     std::lock_guard lock(Mutex);
@@ -113,13 +114,13 @@
     readTable(token);
 }
 
-void ConfigKeeper::extend(std::uint64_t token) {
+void ConfigReplicator::extend(std::uint64_t token) {
   std::lock_guard lock(Mutex);
   if (Token == token)
     FetchEnds = Hooks.Now() + Settings.FetchTimeout;
 }
 
-ConfigHooks ConfigKeeper::watched(std::uint64_t token) {
+ConfigHooks ConfigReplicator::watched(std::uint64_t token) {
   ConfigHooks hooks = Hooks;
   hooks.AskPeer = [self = shared_from_this(), token](auto peer, auto fetch,
                                                      auto done) {
@@ -133,7 +134,7 @@
   return hooks;
 }
 
-void ConfigKeeper::expire(std::uint64_t token) {
+void ConfigReplicator::expire(std::uint64_t token) {
   Span left{};
   {
     std::lock_guard lock(Mutex);
@@ -147,12 +148,12 @@
               [self = shared_from_this(), token] { self->expire(token); });
 }
 
-bool ConfigKeeper::isStale(std::uint64_t token) const {
+bool ConfigReplicator::isStale(std::uint64_t token) const {
   std::lock_guard lock(Mutex);
   return !Fetching || Token != token;
 }
 
-void ConfigKeeper::finish(std::uint64_t token, bool progress) {
+void ConfigReplicator::finish(std::uint64_t token, bool progress) {
   {
     std::lock_guard lock(Mutex);
     if (!Fetching || Token != token)
@@ -167,15 +168,16 @@
     catchUp();
 }
 
-void ConfigKeeper::askPeer(std::uint64_t token, const std::string &peer) {
+void ConfigReplicator::askPeer(std::uint64_t token, const std::string &peer) {
   Hooks.AskPeer(peer, {current()->number(), -1},
                 [self = shared_from_this(), token, peer](auto answer) {
                   self->onPeerAnswer(token, peer, std::move(answer));
                 });
 }
 
-void ConfigKeeper::onPeerAnswer(std::uint64_t token, const std::string &peer,
-                                std::optional<ConfigAnswer> answer) {
+void ConfigReplicator::onPeerAnswer(std::uint64_t token,
+                                    const std::string &peer,
+                                    std::optional<ConfigAnswer> answer) {
   if (isStale(token))
     return;
   if (!answer)
@@ -193,7 +195,8 @@
   finish(token, progress);
 }
 
-void ConfigKeeper::transferFrom(std::uint64_t token, const std::string &peer) {
+void ConfigReplicator::transferFrom(std::uint64_t token,
+                                    const std::string &peer) {
   auto onView = [self = shared_from_this(),
                  token](std::optional<CatalogView> view) {
     bool progress = view && self->replace(std::move(*view));
@@ -202,7 +205,7 @@
   std::make_shared<ConfigTransfer>(watched(token), peer, onView)->start();
 }
 
-void ConfigKeeper::readTable(std::uint64_t token) {
+void ConfigReplicator::readTable(std::uint64_t token) {
   Hooks.Table.Get(std::string(ConfigHeadKey),
                   [self = shared_from_this(), token](auto row) {
                     if (self->isStale(token))
@@ -215,7 +218,8 @@
                   });
 }
 
-void ConfigKeeper::readHeadRow(std::uint64_t token, const ConfigHead &head) {
+void ConfigReplicator::readHeadRow(std::uint64_t token,
+                                   const ConfigHead &head) {
   auto inForce = current()->number();
   if (head.Number <= inForce)
     return finish(token, false);
@@ -227,7 +231,7 @@
   readRows(token);
 }
 
-void ConfigKeeper::readRow(std::uint64_t token) {
+void ConfigReplicator::readRow(std::uint64_t token) {
   Hooks.Table.Get(configDeltaKey(current()->number() + 1),
                   [self = shared_from_this(), token](auto row) {
                     if (self->isStale(token))
@@ -238,7 +242,7 @@
                   });
 }
 
-void ConfigKeeper::readRows(std::uint64_t token) {
+void ConfigReplicator::readRows(std::uint64_t token) {
   Hooks.Table.Scan(std::string(ConfigDeltaPrefix),
                    [self = shared_from_this(), token](auto rows) {
                      if (self->isStale(token))
@@ -255,8 +259,9 @@
                    });
 }
 
-void ConfigKeeper::applyRows(std::uint64_t token, std::vector<std::string> rows,
-                             std::size_t index, bool progress) {
+void ConfigReplicator::applyRows(std::uint64_t token,
+                                 std::vector<std::string> rows,
+                                 std::size_t index, bool progress) {
   for (; index < rows.size() && !decodeDeltaObjects(rows[index]); ++index)
     progress = applyText(rows[index]) || progress;
   if (index == rows.size())
@@ -275,7 +280,7 @@
                 });
 }
 
-void ConfigKeeper::readSnapshot(std::uint64_t token, Revision number) {
+void ConfigReplicator::readSnapshot(std::uint64_t token, Revision number) {
   getObjects(
       Hooks, configSnapshotName(number), CatalogView::PieceCount,
       [self = shared_from_this(), token, number](auto pieces) {
@@ -292,7 +297,7 @@
       });
 }
 
-bool ConfigKeeper::applyText(const std::string &text) {
+bool ConfigReplicator::applyText(const std::string &text) {
   auto delta = decodeDelta(text);
   if (!delta)
     return false;
@@ -306,7 +311,7 @@
   return true;
 }
 
-bool ConfigKeeper::replace(CatalogView view) {
+bool ConfigReplicator::replace(CatalogView view) {
   {
     std::lock_guard lock(ApplyMutex);
     if (!Store.replace(std::move(view)))
@@ -317,7 +322,7 @@
   return true;
 }
 
-void ConfigKeeper::publish() {
+void ConfigReplicator::publish() {
   std::unique_lock lock(PublishMutex);
   if (Publishing)
     return;
@@ -333,7 +338,7 @@
   Publishing = false;
 }
 
-ConfigAnswer ConfigKeeper::answer(const ConfigFetch &fetch) const {
+ConfigAnswer ConfigReplicator::answer(const ConfigFetch &fetch) const {
   ConfigAnswer out;
   if (fetch.Piece >= 0) {
     auto view = current();
@@ -354,7 +359,7 @@
   return out;
 }
 
-void ConfigKeeper::propose(ConfigProposal proposal, ConfigCallback done) {
+void ConfigReplicator::propose(ConfigProposal proposal, ConfigCallback done) {
   Revision known = 0;
   {
     std::lock_guard lock(ApplyMutex);
@@ -376,9 +381,9 @@
       ->start();
 }
 
-void ConfigKeeper::onCommitted(const ConfigCommitRecord &record,
-                               const std::string &text,
-                               const ConfigHead &head) {
+void ConfigReplicator::onCommitted(const ConfigCommitRecord &record,
+                                   const std::string &text,
+                                   const ConfigHead &head) {
   if (!text.empty())
     applyText(text);
   {
--- a/Hemlockglade/Coordination/Config/ConfigKeeper.h
+++ b/Hemlockglade/Coordination/Config/ConfigReplicator.h
@@ -13,9 +13,9 @@
 /// operators' proposals to the table. A proposal is accepted once the table
 /// has it; a revision in force here only ever rises. Safe to call from
 /// several threads; hooks are called without the lock.
-class ConfigKeeper : public std::enable_shared_from_this<ConfigKeeper> {
+class ConfigReplicator : public std::enable_shared_from_this<ConfigReplicator> {
 public:
-  ConfigKeeper(const ConfigSettings &settings, ConfigHooks hooks);
+  ConfigReplicator(const ConfigSettings &settings, ConfigHooks hooks);
 
   /// To be called about once a second: looks at the table when it is time and
   /// goes on catching up.
--- a/Hemlockglade/Coordination/Crash/CrashNotes.cpp
+++ b/Hemlockglade/Coordination/Crash/CrashRowFormat.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Crash/CrashNotes.h"
+#include "Hemlockglade/Coordination/Crash/CrashRowFormat.h"
 
 #include <algorithm>
 #include <charconv>
@@ -53,7 +53,7 @@
   return now - Span(*age);
 }
 
-std::optional<CrashEnd> readEnd(std::string_view text, Instant now) {
+std::optional<ReplicaCrash> readEnd(std::string_view text, Instant now) {
   auto life = number<std::uint64_t>(takeUntil(text, FieldEnd), Hex);
   auto sent = readAge(text, now);
   auto ended = readAge(text, now);
@@ -62,28 +62,28 @@
                              : number<std::uint64_t>(text, Hex);
   if (!life || !sent || !ended || !domain)
     return std::nullopt;
-  return CrashEnd{*life, *sent, *ended, *domain};
+  return ReplicaCrash{*life, *sent, *ended, *domain};
 }
 
 } // namespace
 
-std::string writeCrashNotes(std::span<const CrashRecord> records,
-                            std::size_t most, Instant now) {
+std::string encodeCrashRecords(std::span<const CrashRecord> records,
+                               std::size_t most, Instant now) {
   std::vector<const CrashRecord *> newest;
   for (const auto &it : records)
-    if (!it.Ends.empty())
+    if (!it.Crashes.empty())
       newest.push_back(&it);
   std::sort(newest.begin(), newest.end(), [](const auto *a, const auto *b) {
-    return a->Ends.back().EndedAt > b->Ends.back().EndedAt;
+    return a->Crashes.back().EndedAt > b->Crashes.back().EndedAt;
   });
   newest.resize(std::min(newest.size(), most));
   std::string out;
   for (const auto *record : newest) {
     out += record->Key.text();
     char mark = ':';
-    for (const auto &it : record->Ends) {
+    for (const auto &it : record->Crashes) {
       out += std::exchange(mark, EndEnd);
-      write(out, it.Life, Hex);
+      write(out, it.Incarnation, Hex);
       writeAge(out, it.SentAt, now);
       writeAge(out, it.EndedAt, now);
       out += FieldEnd;
@@ -94,7 +94,8 @@
   return out;
 }
 
-std::vector<CrashRecord> readCrashNotes(std::string_view text, Instant now) {
+std::vector<CrashRecord> decodeCrashRecords(std::string_view text,
+                                            Instant now) {
   std::vector<CrashRecord> out;
   while (!text.empty()) {
     auto record = takeUntil(text, RecordEnd);
@@ -104,8 +105,8 @@
     CrashRecord read{*key, {}, std::nullopt};
     while (!record.empty())
       if (auto end = readEnd(takeUntil(record, EndEnd), now))
-        read.Ends.push_back(*end);
-    if (!read.Ends.empty())
+        read.Crashes.push_back(*end);
+    if (!read.Crashes.empty())
       out.push_back(std::move(read));
   }
   return out;
--- a/Hemlockglade/Coordination/Crash/CrashBook.cpp
+++ b/Hemlockglade/Coordination/Crash/CrashTracker.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Crash/CrashBook.h"
+#include "Hemlockglade/Coordination/Crash/CrashTracker.h"
 
 #include <algorithm>
 #include <xxhash.h>
@@ -17,12 +17,12 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-std::size_t CrashBook::counted(const CrashRecord &record) const {
-  std::vector<const CrashEnd *> counted;
-  for (const auto &it : record.Ends) {
+std::size_t CrashTracker::counted(const CrashRecord &record) const {
+  std::vector<const ReplicaCrash *> counted;
+  for (const auto &it : record.Crashes) {
     // A request that was sent again after an end was there for the next one
     // anew, however soon that came.
-    auto explains = [this, &it](const CrashEnd *before) {
+    auto explains = [this, &it](const ReplicaCrash *before) {
       return before->Domain == it.Domain && it.SentAt <= before->EndedAt &&
              it.EndedAt - before->EndedAt < Setup.SameFailure;
     };
@@ -32,15 +32,15 @@
   return counted.size();
 }
 
-Instant CrashBook::lastEnd(const CrashRecord &record) {
-  return record.Ends.empty() ? Instant{} : record.Ends.back().EndedAt;
+Instant CrashTracker::lastEnd(const CrashRecord &record) {
+  return record.Crashes.empty() ? Instant{} : record.Crashes.back().EndedAt;
 }
 
-bool CrashBook::addEnd(CrashRecord &record, const CrashEnd &end) const {
-  auto &ends = record.Ends;
+bool CrashTracker::addEnd(CrashRecord &record, const ReplicaCrash &end) const {
+  auto &ends = record.Crashes;
   bool known = (record.ServedAt && end.EndedAt <= *record.ServedAt) ||
                std::any_of(ends.begin(), ends.end(), [&end](const auto &it) {
-                 return it.Life == end.Life;
+                 return it.Incarnation == end.Incarnation;
                });
   if (known || ends.size() >= Setup.MaxEnds)
     return false;
@@ -51,8 +51,8 @@
   return true;
 }
 
-bool CrashBook::clear(CrashRecord &record, Instant servedAt) const {
-  auto dropped = std::erase_if(record.Ends, [servedAt](const auto &it) {
+bool CrashTracker::clear(CrashRecord &record, Instant servedAt) const {
+  auto dropped = std::erase_if(record.Crashes, [servedAt](const auto &it) {
     return it.EndedAt <= servedAt;
   });
   bool isNews =
@@ -62,12 +62,12 @@
   return isNews;
 }
 
-void CrashBook::makeRoom() {
+void CrashTracker::makeRoom() {
   if (Entries.size() < Setup.MaxKeys)
     return;
   // What is barred outlasts what is only suspected.
   auto rank = [this](const auto &it) {
-    return std::pair(counted(it.second.Record) >= Setup.Limit,
+    return std::pair(counted(it.second.Record) >= Setup.CrashLimit,
                      lastEnd(it.second.Record));
   };
   Entries.erase(std::min_element(
@@ -75,7 +75,7 @@
       [&rank](const auto &a, const auto &b) { return rank(a) < rank(b); }));
 }
 
-CrashBook::Entry &CrashBook::entryOf(const RequestKey &key) {
+CrashTracker::Entry &CrashTracker::entryOf(const RequestKey &key) {
   auto it = Entries.find(key);
   if (it == Entries.end()) {
     makeRoom();
@@ -85,13 +85,14 @@
   return it->second;
 }
 
-bool CrashBook::onEnd(const RequestKey &key, const CrashEnd &end, Instant now) {
-  return onTold({key, {end}, std::nullopt}, now);
+bool CrashTracker::onEnd(const RequestKey &key, const ReplicaCrash &end,
+                         Instant now) {
+  return merge({key, {end}, std::nullopt}, now);
 }
 
-bool CrashBook::onServed(const RequestKey &key, Instant now) {
+bool CrashTracker::onServed(const RequestKey &key, Instant now) {
   auto it = Entries.find(key);
-  if (it == Entries.end() || it->second.Record.Ends.empty())
+  if (it == Entries.end() || it->second.Record.Crashes.empty())
     return false;
   clear(it->second.Record, now);
   it->second.TriedAt.reset();
@@ -99,16 +100,16 @@
   return true;
 }
 
-bool CrashBook::onTold(const CrashRecord &told, Instant now) {
-  auto fresh = [this, now](const CrashEnd &it) {
+bool CrashTracker::merge(const CrashRecord &told, Instant now) {
+  auto fresh = [this, now](const ReplicaCrash &it) {
     return now - it.EndedAt < Setup.ForgetAfter;
   };
-  bool any = std::any_of(told.Ends.begin(), told.Ends.end(), fresh);
+  bool any = std::any_of(told.Crashes.begin(), told.Crashes.end(), fresh);
   if (!any && !Entries.contains(told.Key))
     return false;
   auto &entry = entryOf(told.Key);
   bool isNews = told.ServedAt && clear(entry.Record, *told.ServedAt);
-  for (const auto &it : told.Ends)
+  for (const auto &it : told.Crashes)
     if (fresh(it) && addEnd(entry.Record, it))
       isNews = true;
   if (isNews)
@@ -116,15 +117,15 @@
   return isNews;
 }
 
-void CrashBook::setTurn(std::size_t turn, std::size_t nodes) {
+void CrashTracker::setTrialSlot(std::size_t turn, std::size_t nodes) {
   Turn = turn;
   Nodes = std::max<std::size_t>(1, nodes);
 }
 
-std::optional<Span> CrashBook::barredFor(const RequestKey &key,
-                                         Instant now) const {
+std::optional<Span> CrashTracker::barredFor(const RequestKey &key,
+                                            Instant now) const {
   auto it = Entries.find(key);
-  if (it == Entries.end() || counted(it->second.Record) < Setup.Limit)
+  if (it == Entries.end() || counted(it->second.Record) < Setup.CrashLimit)
     return std::nullopt;
   auto turns = static_cast<std::int64_t>((key.spread() + Turn) % Nodes);
   auto trialAt = lastEnd(it->second.Record) + Setup.TrialAfter * (1 + turns);
@@ -137,32 +138,32 @@
   return trialAt - now;
 }
 
-void CrashBook::onSent(const RequestKey &key, Instant now) {
+void CrashTracker::onSent(const RequestKey &key, Instant now) {
   auto it = Entries.find(key);
-  if (it != Entries.end() && counted(it->second.Record) >= Setup.Limit)
+  if (it != Entries.end() && counted(it->second.Record) >= Setup.CrashLimit)
     it->second.TriedAt = now;
 }
 
-std::size_t CrashBook::endsOf(const RequestKey &key) const {
+std::size_t CrashTracker::crashesOf(const RequestKey &key) const {
   auto it = Entries.find(key);
   return it == Entries.end() ? 0 : counted(it->second.Record);
 }
 
-std::size_t CrashBook::suspects() const {
+std::size_t CrashTracker::suspects() const {
   return static_cast<std::size_t>(
       std::count_if(Entries.begin(), Entries.end(), [](const auto &it) {
-        return !it.second.Record.Ends.empty();
+        return !it.second.Record.Crashes.empty();
       }));
 }
 
-std::size_t CrashBook::barred() const {
+std::size_t CrashTracker::barred() const {
   return static_cast<std::size_t>(
       std::count_if(Entries.begin(), Entries.end(), [this](const auto &it) {
-        return counted(it.second.Record) >= Setup.Limit;
+        return counted(it.second.Record) >= Setup.CrashLimit;
       }));
 }
 
-std::vector<CrashRecord> CrashBook::since(std::uint64_t number) const {
+std::vector<CrashRecord> CrashTracker::since(std::uint64_t number) const {
   std::vector<CrashRecord> out;
   for (const auto &[key, it] : Entries)
     if (it.Changed > number)
@@ -170,10 +171,10 @@
   return out;
 }
 
-void CrashBook::tidy(Instant now) {
+void CrashTracker::removeExpired(Instant now) {
   std::erase_if(Entries, [this, now](const auto &it) {
     const auto &record = it.second.Record;
-    bool barred = counted(record) >= Setup.Limit;
+    bool barred = counted(record) >= Setup.CrashLimit;
     auto last = std::max(lastEnd(record), record.ServedAt.value_or(Instant{}));
     return now - last >= (barred ? Setup.ForgetAfter : Setup.SuspectFor);
   });
--- a/Hemlockglade/Coordination/Crash/CrashBook.h
+++ b/Hemlockglade/Coordination/Crash/CrashTracker.h
@@ -9,21 +9,21 @@
 namespace hemlockglade {
 
 /// A replica ended while it ran a request, or was about to.
-struct CrashEnd {
+struct ReplicaCrash {
   /// Tag of the replica's life.
-  std::uint64_t Life = 0;
+  std::uint64_t Incarnation = 0;
   Instant SentAt{};
   Instant EndedAt{};
   /// Tag of its failure domain; 0 if unknown.
   std::uint64_t Domain = 0;
 
-  bool operator==(const CrashEnd &) const = default;
+  bool operator==(const ReplicaCrash &) const = default;
 };
 
 /// What is known of a request that is suspected of crashing replicas.
 struct CrashRecord {
   RequestKey Key;
-  std::vector<CrashEnd> Ends;
+  std::vector<ReplicaCrash> Crashes;
   /// When it was last seen to run to its end. Ends before that were not its
   /// fault: a request that crashes replicas crashes each one.
   std::optional<Instant> ServedAt;
@@ -33,14 +33,14 @@
 std::uint64_t crashTag(std::string_view text);
 
 /// Which requests crash the replicas that run them, from what all nodes saw.
-/// A request under which `Limit` replicas ended is barred: it is sent to no
-/// other. Nodes exchange records, in any order and repeatedly, and come to the
-/// same verdict. No clock, no sockets.
-class CrashBook {
+/// A request under which `CrashLimit` replicas ended is barred: it is sent to
+/// no other. Nodes exchange records, in any order and repeatedly, and come to
+/// the same verdict. No clock, no sockets.
+class CrashTracker {
 public:
   struct Settings {
     /// Ends after which a request is barred.
-    std::size_t Limit = 3;
+    std::size_t CrashLimit = 3;
     /// Replicas of one failure domain that end within this time are taken to
     /// have ended together, for one reason; that counts as one end of a request
     /// that was sent to several of them before.
@@ -56,36 +56,36 @@
     std::size_t MaxEnds = 8;
   };
 
-  CrashBook() : CrashBook(Settings{}) {}
-  explicit CrashBook(Settings settings) : Setup(settings) {}
+  CrashTracker() : CrashTracker(Settings{}) {}
+  explicit CrashTracker(Settings settings) : Setup(settings) {}
 
   /// A replica ended under the request. Whether that was news.
-  bool onEnd(const RequestKey &key, const CrashEnd &end, Instant now);
+  bool onEnd(const RequestKey &key, const ReplicaCrash &end, Instant now);
   /// The request ran to its end. Whether anything was known against it.
   bool onServed(const RequestKey &key, Instant now);
   /// Another node, or a row that outlived all nodes, tells. Whether that was
   /// news.
-  bool onTold(const CrashRecord &told, Instant now);
+  bool merge(const CrashRecord &told, Instant now);
 
   /// For how long the request must not be sent, if it is barred.
   std::optional<Span> barredFor(const RequestKey &key, Instant now) const;
   /// The request is sent, which is its trial if it was barred.
   void onSent(const RequestKey &key, Instant now);
   /// Nodes take turns with trials: this one's turn of so many.
-  void setTurn(std::size_t turn, std::size_t nodes);
+  void setTrialSlot(std::size_t turn, std::size_t nodes);
 
   /// Ends that count against the request.
-  std::size_t endsOf(const RequestKey &key) const;
+  std::size_t crashesOf(const RequestKey &key) const;
   /// Requests that are suspected or barred, and those that are barred.
   std::size_t suspects() const;
   std::size_t barred() const;
 
   /// Rises with each change.
-  std::uint64_t number() const { return Number; }
+  std::uint64_t revision() const { return Number; }
   /// Records that have changed since a number; since 0, all.
   std::vector<CrashRecord> since(std::uint64_t number) const;
   /// Forgets what is past its time.
-  void tidy(Instant now);
+  void removeExpired(Instant now);
 
 private:
   struct Entry {
@@ -97,7 +97,7 @@
 
   std::size_t counted(const CrashRecord &record) const;
   static Instant lastEnd(const CrashRecord &record);
-  bool addEnd(CrashRecord &record, const CrashEnd &end) const;
+  bool addEnd(CrashRecord &record, const ReplicaCrash &end) const;
   bool clear(CrashRecord &record, Instant servedAt) const;
   Entry &entryOf(const RequestKey &key);
   void makeRoom();
--- a/Hemlockglade/Coordination/Crash/EndWatch.h
+++ b/Hemlockglade/Coordination/Crash/ReplicaEndDetector.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Crash/CrashBook.h"
-#include "Hemlockglade/State/Routing/ReplicaLife.h"
+#include "Hemlockglade/Coordination/Crash/CrashTracker.h"
+#include "Hemlockglade/State/Routing/ReplicaIncarnation.h"
 
 namespace hemlockglade {
 
@@ -9,23 +9,23 @@
 /// up while the replica may run it on.
 struct BrokenAttempt {
   RequestKey Key;
-  ReplicaLife Life;
+  ReplicaIncarnation Incarnation;
   std::string FailureDomain;
   Instant SentAt{};
   /// When the first part of the answer came, if any did.
-  std::optional<Instant> BeganAt;
+  std::optional<Instant> AnswerBeganAt;
   Instant BrokeAt{};
 };
 
 /// A replica's end and a request that may have caused it.
-struct SuspectEnd {
+struct SuspectCrash {
   RequestKey Key;
-  CrashEnd End;
+  ReplicaCrash Crash;
 };
 
 /// Tells replicas that ended from connections that broke for other reasons,
 /// and which of the requests there may be to blame. No clock, no sockets.
-class EndWatch {
+class ReplicaEndDetector {
 public:
   struct Settings {
     /// A request that had begun longer ago than this is not to blame: one that
@@ -37,22 +37,23 @@
     std::size_t MaxBroken = 1024;
   };
 
-  EndWatch() : EndWatch(Settings{}) {}
-  explicit EndWatch(Settings settings) : Setup(settings) {}
+  ReplicaEndDetector() : ReplicaEndDetector(Settings{}) {}
+  explicit ReplicaEndDetector(Settings settings) : Setup(settings) {}
 
   /// An attempt broke. Gives what is certain already.
-  std::vector<SuspectEnd> onBroken(const BrokenAttempt &attempt);
+  std::vector<SuspectCrash> onBroken(const BrokenAttempt &attempt);
   /// Whether to look if something listens at the replica's address; asked once
   /// for each look.
-  bool wantsLook(const ReplicaLife &life);
+  bool needsProbe(const ReplicaIncarnation &life);
   /// The replica has ended.
-  std::vector<SuspectEnd> onEnded(const ReplicaLife &life, Instant now);
+  std::vector<SuspectCrash> onEnded(const ReplicaIncarnation &life,
+                                    Instant now);
   /// The registry has the replica no more, whichever of its lives that was.
-  std::vector<SuspectEnd> onGone(const std::string &id, Instant now);
+  std::vector<SuspectCrash> onRemoved(const std::string &id, Instant now);
   /// Something listens at its address. That may be another process, or the
   /// replica may yet end, so the attempts are kept.
-  void onListening(const ReplicaLife &life);
-  void tidy(Instant now);
+  void onListening(const ReplicaIncarnation &life);
+  void removeExpired(Instant now);
 
 private:
   struct Doubt {
@@ -60,7 +61,7 @@
     bool Looking = false;
   };
 
-  static SuspectEnd endOf(const BrokenAttempt &attempt);
+  static SuspectCrash endOf(const BrokenAttempt &attempt);
 
   Settings Setup;
   /// Attempts that broke at replicas of which it is not known whether they
--- a/Hemlockglade/Coordination/Decision/CellCore.cpp
+++ b/Hemlockglade/Coordination/Decision/CellCore.cpp
@@ -76,8 +76,8 @@
     State.OwnerSince = State.Now;
 }
 
-void CellCore::on(const TurnChanged &event) {
-  State.Turn.setShare(event.Parallel, event.LoadsPerSecond);
+void CellCore::on(const LoadLimitChanged &event) {
+  State.Limiter.setShare(event.Parallel, event.LoadsPerSecond);
 }
 
 void CellCore::on(const PinChanged &event) { Orders.pinChanged(event); }
@@ -102,7 +102,7 @@
 }
 
 void CellCore::serveAllOn(ReplicaKey replica) {
-  if (auto *found = State.Book.find(replica))
+  if (auto *found = State.Replicas.find(replica))
     Desk.serveReplica(*found);
 }
 
--- a/Hemlockglade/Coordination/Decision/CellCore.h
+++ b/Hemlockglade/Coordination/Decision/CellCore.h
@@ -2,7 +2,7 @@
 
 #include "Hemlockglade/Coordination/Decision/Consolidation.h"
 #include "Hemlockglade/Coordination/Decision/OrderPlanner.h"
-#include "Hemlockglade/Coordination/Decision/RequestDesk.h"
+#include "Hemlockglade/Coordination/Decision/RequestAdmission.h"
 #include "Hemlockglade/Coordination/Decision/ResidencyTracker.h"
 
 namespace hemlockglade {
@@ -37,7 +37,7 @@
   void on(const ReplicaReport &event);
   void on(const ReplicaSilent &event);
   void on(const LeaseChanged &event);
-  void on(const TurnChanged &event);
+  void on(const LoadLimitChanged &event);
   void on(const PinChanged &event);
   void on(const RuleChanged &event);
   void on(const OperatorLoad &event);
@@ -47,7 +47,7 @@
   void serveAllOn(ReplicaKey replica);
 
   CellState State;
-  RequestDesk Desk;
+  RequestAdmission Desk;
   ResidencyTracker Residency;
   OrderPlanner Orders;
   Consolidation Rests;
--- a/Hemlockglade/Coordination/Decision/ReplicaBook.cpp
+++ b/Hemlockglade/Coordination/Decision/CellReplicas.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Decision/ReplicaBook.h"
+#include "Hemlockglade/Coordination/Decision/CellReplicas.h"
 
 #include <algorithm>
 #include <cassert>
@@ -30,7 +30,7 @@
   return std::nullopt;
 }
 
-Replica &ReplicaBook::obtain(ReplicaKey replica) {
+Replica &CellReplicas::obtain(ReplicaKey replica) {
   while (Replicas.size() <= replica) {
     Replicas.emplace_back();
     Replicas.back().Key = static_cast<ReplicaKey>(Replicas.size() - 1);
@@ -38,13 +38,13 @@
   return Replicas[replica];
 }
 
-Replica *ReplicaBook::find(ReplicaKey replica) {
+Replica *CellReplicas::find(ReplicaKey replica) {
   if (replica >= Replicas.size() || !Replicas[replica].Present)
     return nullptr;
   return &Replicas[replica];
 }
 
-Resident *ReplicaBook::resident(Replica &replica, AdapterKey adapter) {
+Resident *CellReplicas::resident(Replica &replica, AdapterKey adapter) {
   for (auto &it : replica.Adapters) {
     if (it.Adapter == adapter)
       return &it;
@@ -52,8 +52,8 @@
   return nullptr;
 }
 
-Resident &ReplicaBook::add(Replica &replica, AdapterKey adapter, Hold state,
-                           Instant now) {
+Resident &CellReplicas::add(Replica &replica, AdapterKey adapter,
+                            ResidentState state, Instant now) {
   assert(!resident(replica, adapter));
   Resident it;
   it.Adapter = adapter;
@@ -67,7 +67,7 @@
   return replica.Adapters.back();
 }
 
-void ReplicaBook::remove(Replica &replica, AdapterKey adapter) {
+void CellReplicas::remove(Replica &replica, AdapterKey adapter) {
   std::erase_if(replica.Adapters, [adapter](const Resident &it) {
     return it.Adapter == adapter;
   });
--- a/Hemlockglade/Coordination/Decision/ReplicaBook.h
+++ b/Hemlockglade/Coordination/Decision/CellReplicas.h
@@ -9,12 +9,12 @@
 namespace hemlockglade {
 
 /// What the books say of an adapter on a replica.
-enum class Hold : std::uint8_t {
+enum class ResidentState : std::uint8_t {
   /// A load order is out.
   Loading,
   Loaded,
   /// An evict order is out.
-  Leaving,
+  Evicting,
   /// An order's answer is missing: it may be there or not. It keeps its slot
   /// and gets no work until a report tells.
   Uncertain,
@@ -23,7 +23,7 @@
 /// An adapter on a replica.
 struct Resident {
   AdapterKey Adapter = NoAdapter;
-  Hold State = Hold::Loading;
+  ResidentState State = ResidentState::Loading;
   /// Tells this stay from an earlier one of the same adapter.
   std::uint64_t Stay = 0;
   /// Number of the last order while its answer may come, else 0.
@@ -108,9 +108,9 @@
 };
 
 /// All replicas of the cell, and which adapters they hold.
-class ReplicaBook {
+class CellReplicas {
 public:
-  explicit ReplicaBook(AdapterTable &adapters) : Adapters(adapters) {}
+  explicit CellReplicas(AdapterTable &adapters) : Adapters(adapters) {}
 
   /// The replica, made known if it was not.
   Replica &obtain(ReplicaKey replica);
@@ -121,7 +121,8 @@
 
   Resident *resident(Replica &replica, AdapterKey adapter);
   /// Enters an adapter that the replica's books don't have.
-  Resident &add(Replica &replica, AdapterKey adapter, Hold state, Instant now);
+  Resident &add(Replica &replica, AdapterKey adapter, ResidentState state,
+                Instant now);
   /// Strikes an adapter out. References to residents of the replica end.
   void remove(Replica &replica, AdapterKey adapter);
 
--- a/Hemlockglade/Coordination/Decision/CellState.cpp
+++ b/Hemlockglade/Coordination/Decision/CellState.cpp
@@ -13,20 +13,20 @@
 } // namespace
 
 CellState::CellState(const CellCoreSettings &settings, CellCoreHooks hooks)
-    : Settings(settings), Adapters(&Memory), Book(Adapters),
+    : Settings(settings), Adapters(&Memory), Replicas(Adapters),
       Demand(settings.Demand),
       Eviction(settings.Eviction, std::move(hooks.Eviction), Demand, &Memory),
       Queues(settings.Queues, &Memory), Planner(settings.Loads, &Memory),
-      Turn(settings.Turn), Chooser(settings.Routing, settings.Objective, Book),
-      Running(&Memory), Backoffs(&Memory), PinsToCheck(&Memory), Lost(&Memory) {
-}
+      Limiter(settings.LoadLimits),
+      Chooser(settings.Routing, settings.Objective, Replicas), Running(&Memory),
+      Backoffs(&Memory), PinsToCheck(&Memory), Lost(&Memory) {}
 
 bool CellState::serves(ReplicaKey replica, const ActiveAdapter &active) {
-  auto *found = Book.find(replica);
+  auto *found = Replicas.find(replica);
   if (!found || !Chooser.serves(*found, active))
     return false;
-  auto *resident = Book.resident(*found, active.Key);
-  return resident && resident->State == Hold::Loaded;
+  auto *resident = Replicas.resident(*found, active.Key);
+  return resident && resident->State == ResidentState::Loaded;
 }
 
 std::uint32_t CellState::servers(const ActiveAdapter &active) {
@@ -40,8 +40,8 @@
 
 bool CellState::isLoading(const ActiveAdapter &active) {
   for (ReplicaKey it : active.Holders) {
-    auto *resident = Book.resident(Book.obtain(it), active.Key);
-    if (resident->State == Hold::Loading)
+    auto *resident = Replicas.resident(Replicas.obtain(it), active.Key);
+    if (resident->State == ResidentState::Loading)
       return true;
   }
   return false;
@@ -49,14 +49,15 @@
 
 std::size_t CellState::freeSlots() {
   std::size_t n = 0;
-  for (const auto &it : Book.all()) {
+  for (const auto &it : Replicas.all()) {
     if (Chooser.works(it) && it.NoLoadBefore <= Now && it.hasFreeSlot())
       n += it.Properties.Slots - it.Adapters.size();
   }
   return n;
 }
 
-void CellState::setState(Replica &replica, Resident &resident, Hold state) {
+void CellState::setState(Replica &replica, Resident &resident,
+                         ResidentState state) {
   resident.State = state;
   resident.ChangedAt = Now;
   resident.SettledAfter = Now;
@@ -69,14 +70,14 @@
 }
 
 void CellState::setUncertain(Replica &replica, Resident &resident) {
-  setState(replica, resident, Hold::Uncertain);
+  setState(replica, resident, ResidentState::Uncertain);
   resident.SettledAfter = Now + Settings.Eviction.UncertainFor;
 }
 
 void CellState::strike(Replica &replica, AdapterKey adapter) {
-  auto *resident = Book.resident(replica, adapter);
+  auto *resident = Replicas.resident(replica, adapter);
   Eviction.forget(replica, *resident);
-  Book.remove(replica, adapter);
+  Replicas.remove(replica, adapter);
   replica.OrderAt = Now;
   auto *active = Adapters.find(adapter);
   if (active->Holders.empty())
@@ -94,13 +95,14 @@
     return;
   bool copies = active->Holders.size() > 1 && servers(*active) > 1;
   for (ReplicaKey it : active->Holders) {
-    auto &replica = Book.obtain(it);
-    Eviction.refresh(replica, *Book.resident(replica, adapter), copies, Now);
+    auto &replica = Replicas.obtain(it);
+    Eviction.refresh(replica, *Replicas.resident(replica, adapter), copies,
+                     Now);
   }
 }
 
 void CellState::refreshSome() {
-  auto replicas = Book.all();
+  auto replicas = Replicas.all();
   if (replicas.empty())
     return;
   std::size_t n = 1 + replicas.size() / RefreshTicks;
@@ -139,11 +141,11 @@
   resident.OrderedLoad = isLoad;
   if (isLoad)
     resident.LoadOrderedAt = Now;
-  resident.WasUncertain = resident.State == Hold::Uncertain;
+  resident.WasUncertain = resident.State == ResidentState::Uncertain;
   resident.Restarted = false;
   Orders.push_back({replica.Key, resident.Adapter, LastOrder, Now, isLoad});
   if (isLoad)
-    Turn.started();
+    Limiter.onStarted();
   return LastOrder;
 }
 
@@ -156,7 +158,7 @@
   OpenOrder open = *it;
   Orders.erase(it);
   if (open.IsLoad && !open.Overdue)
-    Turn.dropped();
+    Limiter.onEnded();
   return open;
 }
 
--- a/Hemlockglade/Coordination/Decision/CellState.h
+++ b/Hemlockglade/Coordination/Decision/CellState.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "Hemlockglade/Coordination/Decision/EvictionPolicy.h"
+#include "Hemlockglade/Coordination/Decision/LoadLimiter.h"
 #include "Hemlockglade/Coordination/Decision/LoadPlanner.h"
-#include "Hemlockglade/Coordination/Decision/LoadTurn.h"
 #include "Hemlockglade/Coordination/Decision/ReplicaChooser.h"
 #include "Hemlockglade/Coordination/Decision/RetryBudget.h"
 #include "Hemlockglade/Coordination/Decision/WaitQueues.h"
@@ -87,7 +87,7 @@
   RetrySettings Retries;
   QueueSettings Queues;
   AdmissionSettings Admission;
-  LoadTurnSettings Turn;
+  LoadLimiterSettings LoadLimits;
   LoadPlannerSettings Loads;
   EvictionSettings Eviction;
   PlacementSettings Placement;
@@ -129,12 +129,12 @@
   /// Keeps freed nodes for reuse, so that a warm core does not allocate.
   std::pmr::unsynchronized_pool_resource Memory;
   AdapterTable Adapters;
-  ReplicaBook Book;
+  CellReplicas Replicas;
   DemandEstimate Demand;
   EvictionPolicy Eviction;
   WaitQueues Queues;
   LoadPlanner Planner;
-  LoadTurn Turn;
+  LoadLimiter Limiter;
   ReplicaChooser Chooser;
   std::pmr::unordered_map<RequestKey, RunningRequest> Running;
   std::vector<OpenOrder> Orders;
@@ -163,7 +163,7 @@
   std::size_t freeSlots();
 
   /// Changes the state of a resident and all that depends on it.
-  void setState(Replica &replica, Resident &resident, Hold state);
+  void setState(Replica &replica, Resident &resident, ResidentState state);
   /// As above, for an order that may still be carried out.
   void setUncertain(Replica &replica, Resident &resident);
   /// Strikes a resident out of the books.
--- a/Hemlockglade/Coordination/Decision/Consolidation.cpp
+++ b/Hemlockglade/Coordination/Decision/Consolidation.cpp
@@ -10,7 +10,7 @@
   if (settings.FullTarget <= 0 || State.Settings.Objective <= 0)
     return wakeOne();
   auto inFlight = static_cast<double>(State.Queues.size());
-  for (const auto &it : State.Book.all())
+  for (const auto &it : State.Replicas.all())
     inFlight += it.Present ? it.inFlight() : 0;
   auto past = std::chrono::duration<double>(State.Now - SampledAt);
   auto over = std::chrono::duration<double>(settings.MeanOver);
@@ -30,7 +30,7 @@
 }
 
 Replica *Consolidation::wakeOne() {
-  for (auto &it : State.Book.all()) {
+  for (auto &it : State.Replicas.all()) {
     if (!it.Resting)
       continue;
     it.Resting = false;
@@ -44,7 +44,7 @@
 void Consolidation::restOne() {
   const auto &settings = State.Settings.Consolidation;
   Replica *best = nullptr;
-  for (auto &it : State.Book.all()) {
+  for (auto &it : State.Replicas.all()) {
     if (!it.Present || it.Draining || it.Resting)
       continue;
     if (!best || it.inFlight() <= best->inFlight())
@@ -72,7 +72,7 @@
 
 double Consolidation::places(bool resting) const {
   double n = 0;
-  for (const auto &it : State.Book.all()) {
+  for (const auto &it : State.Replicas.all()) {
     if (it.Present && !it.Draining && (resting || !it.Resting))
       n += it.Properties.Batch;
   }
--- a/Hemlockglade/Coordination/Decision/CoreTypes.h
+++ b/Hemlockglade/Coordination/Decision/CoreTypes.h
@@ -169,7 +169,7 @@
 
 /// How many adapter loads may run at once, and how many a second on average,
 /// for this cell.
-struct TurnChanged {
+struct LoadLimitChanged {
   std::uint32_t Parallel = 1;
   double LoadsPerSecond = 3.0;
 };
@@ -203,11 +203,12 @@
 /// Time has passed.
 struct Tick {};
 
-using Event = std::variant<RequestArrived, RequestFinished, RequestAdopted,
-                           LoadDone, LoadFailed, EvictDone, ReplicaAdded,
-                           ReplicaRemoved, ReplicaDraining, ReplicaReport,
-                           ReplicaSilent, LeaseChanged, TurnChanged, PinChanged,
-                           RuleChanged, OperatorLoad, ObjectiveChanged, Tick>;
+using Event =
+    std::variant<RequestArrived, RequestFinished, RequestAdopted, LoadDone,
+                 LoadFailed, EvictDone, ReplicaAdded, ReplicaRemoved,
+                 ReplicaDraining, ReplicaReport, ReplicaSilent, LeaseChanged,
+                 LoadLimitChanged, PinChanged, RuleChanged, OperatorLoad,
+                 ObjectiveChanged, Tick>;
 
 // Actions: what to do about it.
 
--- a/Hemlockglade/Coordination/Decision/EvictionPolicy.cpp
+++ b/Hemlockglade/Coordination/Decision/EvictionPolicy.cpp
@@ -12,8 +12,8 @@
 void EvictionPolicy::refresh(const Replica &replica, Resident &resident,
                              bool copies, Instant now) {
   forget(replica, resident);
-  bool still =
-      resident.State == Hold::Loaded || resident.State == Hold::Uncertain;
+  bool still = resident.State == ResidentState::Loaded ||
+               resident.State == ResidentState::Uncertain;
   if (!still || resident.Running != 0)
     return;
   resident.Idle = true;
@@ -32,10 +32,10 @@
                            Instant now, Instant ownerSince) const {
   if (resident.Running != 0)
     return false;
-  if (resident.State == Hold::Loaded &&
+  if (resident.State == ResidentState::Loaded &&
       now - resident.LoadedAt < Settings.MinResidency)
     return false;
-  if (resident.State == Hold::Uncertain && now < resident.SettledAfter)
+  if (resident.State == ResidentState::Uncertain && now < resident.SettledAfter)
     return false;
   // A former owner's requests may run on what we know from a report only.
   if (resident.FromReport && replica.ReportAt < ownerSince)
@@ -47,7 +47,7 @@
 
 double EvictionPolicy::valueOf(const Resident &resident, bool copies,
                                Instant now) const {
-  if (resident.State == Hold::Uncertain)
+  if (resident.State == ResidentState::Uncertain)
     return -1;
   if (Settings.LeastRecentlyUsed)
     return static_cast<double>(resident.LastUsed.count());
--- a/Hemlockglade/Coordination/Decision/EvictionPolicy.h
+++ b/Hemlockglade/Coordination/Decision/EvictionPolicy.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "Hemlockglade/Coordination/Decision/CellReplicas.h"
 #include "Hemlockglade/Coordination/Decision/DemandEstimate.h"
-#include "Hemlockglade/Coordination/Decision/ReplicaBook.h"
 
 #include <functional>
 
--- a/Hemlockglade/Coordination/Decision/LoadTurn.cpp
+++ b/Hemlockglade/Coordination/Decision/LoadLimiter.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Decision/LoadTurn.h"
+#include "Hemlockglade/Coordination/Decision/LoadLimiter.h"
 
 #include <algorithm>
 #include <cassert>
@@ -14,53 +14,53 @@
 
 } // namespace
 
-LoadTurn::LoadTurn(const LoadTurnSettings &settings)
+LoadLimiter::LoadLimiter(const LoadLimiterSettings &settings)
     : Settings(settings), Tokens(settings.Burst),
       Expected(settings.FirstEstimate) {}
 
-void LoadTurn::setShare(std::uint32_t parallel, double loadsPerSecond) {
+void LoadLimiter::setShare(std::uint32_t parallel, double loadsPerSecond) {
   Parallel = parallel;
   LoadsPerSecond = loadsPerSecond;
 }
 
-bool LoadTurn::free(Instant now) {
+bool LoadLimiter::canStart(Instant now) {
   refill(now);
   return Running < Parallel && Tokens >= 1 && now >= PausedUntil;
 }
 
-void LoadTurn::started() {
+void LoadLimiter::onStarted() {
   ++Running;
   Tokens -= 1;
 }
 
-void LoadTurn::succeeded(Span took, Instant now) {
+void LoadLimiter::onSucceeded(Span took, Instant now) {
   Failures = 0;
   PausedUntil = now;
   Expected += (took - Expected) / MeanOver;
 }
 
-void LoadTurn::failed(Instant now) {
+void LoadLimiter::onFailed(Instant now) {
   ++Failures;
-  if (!storeBad())
+  if (!isStoreFailing())
     return;
   auto shift = std::min(Failures - Settings.StoreFailures, LargestShift);
   PausedUntil =
       now + std::min(Settings.FirstPause * (1 << shift), Settings.LongestPause);
 }
 
-void LoadTurn::dropped() {
+void LoadLimiter::onEnded() {
   assert(Running > 0);
   --Running;
 }
 
-double LoadTurn::rate() const {
+double LoadLimiter::rate() const {
   if (Parallel == 0 || LoadsPerSecond <= 0)
     return 0;
   auto took = std::max<double>(1, static_cast<double>(Expected.count()));
   return std::min(LoadsPerSecond, Parallel * MicrosecondsPerSecond / took);
 }
 
-void LoadTurn::refill(Instant now) {
+void LoadLimiter::refill(Instant now) {
   if (now > RefilledAt) {
     auto us = static_cast<double>((now - RefilledAt).count());
     Tokens += us * LoadsPerSecond / MicrosecondsPerSecond;
--- a/Hemlockglade/Coordination/Decision/LoadTurn.h
+++ b/Hemlockglade/Coordination/Decision/LoadLimiter.h
@@ -5,7 +5,7 @@
 namespace hemlockglade {
 
 /// How loads are paced and how failures slow them down.
-struct LoadTurnSettings {
+struct LoadLimiterSettings {
   /// Loads that may be saved up while none was needed.
   double Burst = 2;
   /// Load time that is assumed before any was measured.
@@ -20,22 +20,22 @@
 
 /// The cell's share of the weight store: who may load now, and how long a load
 /// takes.
-class LoadTurn {
+class LoadLimiter {
 public:
-  explicit LoadTurn(const LoadTurnSettings &settings);
+  explicit LoadLimiter(const LoadLimiterSettings &settings);
 
   /// Sets the share.
   void setShare(std::uint32_t parallel, double loadsPerSecond);
   /// Whether a load may start now.
-  bool free(Instant now);
+  bool canStart(Instant now);
   /// A load takes a turn.
-  void started();
+  void onStarted();
   /// A load gives its turn back, however it ended.
-  void dropped();
+  void onEnded();
   /// A load ended well after `took`.
-  void succeeded(Span took, Instant now);
+  void onSucceeded(Span took, Instant now);
   /// A load failed.
-  void failed(Instant now);
+  void onFailed(Instant now);
 
   std::uint32_t running() const { return Running; }
   std::uint32_t parallel() const { return Parallel; }
@@ -44,12 +44,12 @@
   /// Loads a second that can be counted on.
   double rate() const;
   /// Whether the weight store fails for all adapters alike.
-  bool storeBad() const { return Failures >= Settings.StoreFailures; }
+  bool isStoreFailing() const { return Failures >= Settings.StoreFailures; }
 
 private:
   void refill(Instant now);
 
-  LoadTurnSettings Settings;
+  LoadLimiterSettings Settings;
   std::uint32_t Parallel = 1;
   double LoadsPerSecond = 3.0;
   std::uint32_t Running = 0;
--- a/Hemlockglade/Coordination/Decision/OrderPlanner.cpp
+++ b/Hemlockglade/Coordination/Decision/OrderPlanner.cpp
@@ -49,12 +49,12 @@
 
 void OrderPlanner::loadForOperators() {
   auto &wish = Wishes.front();
-  auto *replica = State.Book.find(wish.Load.Replica);
+  auto *replica = State.Replicas.find(wish.Load.Replica);
   auto &active = State.Adapters.obtain(wish.Load.Adapter);
   auto *resident =
-      replica ? State.Book.resident(*replica, active.Key) : nullptr;
-  bool there = resident && (resident->State == Hold::Loaded ||
-                            resident->State == Hold::Loading);
+      replica ? State.Replicas.resident(*replica, active.Key) : nullptr;
+  bool there = resident && (resident->State == ResidentState::Loaded ||
+                            resident->State == ResidentState::Loading);
   bool hopeless = !replica || replica->Draining ||
                   !active.allows(replica->Properties.Domain) ||
                   State.Now - wish.Since > ForgetWish;
@@ -64,7 +64,7 @@
     State.replanAll(*replica);
   }
   if (!there && !hopeless) {
-    if (!State.Turn.free(State.Now))
+    if (!State.Limiter.canStart(State.Now))
       return;
     if (!target(active, bounds)) {
       if (!roomComes(active, bounds) && State.Now >= NoVictimBefore &&
@@ -82,7 +82,7 @@
 void OrderPlanner::loadForDemand() {
   cancelPrefetch();
   std::size_t free = State.freeSlots();
-  while (demandWaits() && State.Turn.free(State.Now) && free != 0) {
+  while (demandWaits() && State.Limiter.canStart(State.Now) && free != 0) {
     bool loaded = false;
     for (AdapterKey it : State.Planner.candidates(State.Adapters, State.Now)) {
       auto &active = *State.Adapters.find(it);
@@ -109,8 +109,8 @@
     leaving += !it.IsLoad &&
                State.Now - it.GivenAt < State.Settings.Placement.EvictionDue;
   std::size_t have = State.freeSlots() + leaving;
-  auto parallel = State.Turn.parallel();
-  auto free = parallel - std::min(parallel, State.Turn.running());
+  auto parallel = State.Limiter.parallel();
+  auto free = parallel - std::min(parallel, State.Limiter.running());
   std::size_t want = std::min<std::size_t>(
       State.Planner.size(), free + State.Settings.Placement.RoomAhead);
   // With room for all, only bounds of the first one's own can ask for more.
@@ -128,7 +128,7 @@
 }
 
 void OrderPlanner::loadForPins() {
-  if (State.Now < NoPinBefore || !State.Turn.free(State.Now))
+  if (State.Now < NoPinBefore || !State.Limiter.canStart(State.Now))
     return;
   if (demandWaits() && SincePin < DemandPerPin)
     return;
@@ -152,7 +152,7 @@
 }
 
 void OrderPlanner::prefetch() {
-  if (!State.Turn.free(State.Now) || State.freeSlots() == 0)
+  if (!State.Limiter.canStart(State.Now) || State.freeSlots() == 0)
     return;
   auto best = std::prev(State.Lost.end());
   AdapterKey adapter = best->second;
@@ -169,14 +169,14 @@
 
 void OrderPlanner::cancelPrefetch() {
   if (State.Planner.firsts() == 0 ||
-      State.Turn.running() < State.Turn.parallel())
+      State.Limiter.running() < State.Limiter.parallel())
     return;
   auto within = std::chrono::duration_cast<Span>(
       State.Settings.Placement.CancelWithin *
-      std::chrono::duration<double, std::micro>(State.Turn.expected()));
+      std::chrono::duration<double, std::micro>(State.Limiter.expected()));
   for (const auto &it : State.Orders) {
     auto *resident =
-        State.Book.resident(State.Book.obtain(it.Replica), it.Adapter);
+        State.Replicas.resident(State.Replicas.obtain(it.Replica), it.Adapter);
     if (!it.IsLoad || resident->Why != Reason::Prefetch ||
         State.Now - it.GivenAt > within)
       continue;
@@ -187,12 +187,12 @@
 void OrderPlanner::cancelUnwanted() {
   auto within = std::chrono::duration_cast<Span>(
       State.Settings.Placement.CancelWithin *
-      std::chrono::duration<double, std::micro>(State.Turn.expected()));
+      std::chrono::duration<double, std::micro>(State.Limiter.expected()));
   for (std::size_t it = 0; it < State.Orders.size();) {
     OpenOrder open = State.Orders[it];
     auto *active = State.Adapters.find(open.Adapter);
-    auto *resident =
-        State.Book.resident(State.Book.obtain(open.Replica), open.Adapter);
+    auto *resident = State.Replicas.resident(
+        State.Replicas.obtain(open.Replica), open.Adapter);
     bool unwanted = open.IsLoad && resident->Why == Reason::Demand &&
                     active->Queue.empty() && State.Now - open.GivenAt <= within;
     if (unwanted)
@@ -203,8 +203,8 @@
 }
 
 void OrderPlanner::cancel(const OpenOrder &open) {
-  auto &replica = State.Book.obtain(open.Replica);
-  auto *resident = State.Book.resident(replica, open.Adapter);
+  auto &replica = State.Replicas.obtain(open.Replica);
+  auto *resident = State.Replicas.resident(replica, open.Adapter);
   State.closeOrder(open.Order);
   State.setUncertain(replica, *resident);
   State.Out->push_back(
@@ -214,17 +214,17 @@
 Replica *OrderPlanner::target(const ActiveAdapter &active, Bounds bounds) {
   // A slot where the adapter may be already is the first to be tried.
   for (ReplicaKey it : active.Holders) {
-    auto &replica = State.Book.obtain(it);
-    auto *resident = State.Book.resident(replica, active.Key);
+    auto &replica = State.Replicas.obtain(it);
+    auto *resident = State.Replicas.resident(replica, active.Key);
     // An eviction without a result could still take it away again.
     bool canCome = resident->OrderedLoad || State.Now >= resident->SettledAfter;
-    if (resident->State == Hold::Uncertain && resident->Running == 0 &&
+    if (resident->State == ResidentState::Uncertain && resident->Running == 0 &&
         canCome && mayTake(replica, active, bounds))
       return &replica;
   }
   Replica *best = nullptr;
-  for (auto &it : State.Book.all()) {
-    if (!it.hasFreeSlot() || State.Book.resident(it, active.Key) ||
+  for (auto &it : State.Replicas.all()) {
+    if (!it.hasFreeSlot() || State.Replicas.resident(it, active.Key) ||
         !mayTake(it, active, bounds))
       continue;
     if (!best || betterTarget(it, *best, active))
@@ -268,7 +268,7 @@
                                    const ActiveAdapter &active) const {
   std::size_t n = 0;
   for (ReplicaKey it : active.Holders)
-    n += State.Book.obtain(it).Properties.Domain == domain ? 1 : 0;
+    n += State.Replicas.obtain(it).Properties.Domain == domain ? 1 : 0;
   return n;
 }
 
@@ -276,23 +276,25 @@
   if (target(active, bounds))
     return true;
   for (const auto &it : State.Orders) {
-    auto &replica = State.Book.obtain(it.Replica);
+    auto &replica = State.Replicas.obtain(it.Replica);
     if (!it.IsLoad && mayTake(replica, active, bounds) &&
-        (it.Adapter == active.Key || !State.Book.resident(replica, active.Key)))
+        (it.Adapter == active.Key ||
+         !State.Replicas.resident(replica, active.Key)))
       return true;
   }
   return false;
 }
 
 void OrderPlanner::load(Replica &replica, AdapterKey adapter, Reason why) {
-  auto *resident = State.Book.resident(replica, adapter);
+  auto *resident = State.Replicas.resident(replica, adapter);
   if (!resident)
-    resident = &State.Book.add(replica, adapter, Hold::Loading, State.Now);
+    resident = &State.Replicas.add(replica, adapter, ResidentState::Loading,
+                                   State.Now);
   else
     resident->Overlaps = true;
   resident->Why = why;
   auto order = State.openOrder(replica, *resident, true);
-  State.setState(replica, *resident, Hold::Loading);
+  State.setState(replica, *resident, ResidentState::Loading);
   State.Out->push_back(Load{replica.Key, adapter, why, order});
 }
 
@@ -305,10 +307,10 @@
       });
   if (!victim)
     return false;
-  auto &replica = State.Book.obtain(victim->Replica);
-  auto *resident = State.Book.resident(replica, victim->Adapter);
+  auto &replica = State.Replicas.obtain(victim->Replica);
+  auto *resident = State.Replicas.resident(replica, victim->Adapter);
   auto order = State.openOrder(replica, *resident, false);
-  State.setState(replica, *resident, Hold::Leaving);
+  State.setState(replica, *resident, ResidentState::Evicting);
   State.Out->push_back(
       Evict{victim->Replica, victim->Adapter, Reason::MakeRoom, order});
   return true;
@@ -316,15 +318,15 @@
 
 bool OrderPlanner::mayEvict(const EvictionPolicy::Victim &victim,
                             const ActiveAdapter &active, Bounds bounds) {
-  auto &replica = State.Book.obtain(victim.Replica);
+  auto &replica = State.Replicas.obtain(victim.Replica);
   if (victim.Adapter == active.Key || !mayTake(replica, active, bounds) ||
-      State.Book.resident(replica, active.Key))
+      State.Replicas.resident(replica, active.Key))
     return false;
-  const auto &resident = *State.Book.resident(replica, victim.Adapter);
+  const auto &resident = *State.Replicas.resident(replica, victim.Adapter);
   if (!State.Eviction.mayGo(replica, resident, State.Now, State.OwnerSince))
     return false;
   const auto &other = *State.Adapters.find(victim.Adapter);
-  if (!other.Queue.empty() && resident.State == Hold::Loaded)
+  if (!other.Queue.empty() && resident.State == ResidentState::Loaded)
     return false;
   return !isPinned(replica, other);
 }
@@ -352,9 +354,10 @@
                                       bool loading) const {
   std::uint32_t n = 0;
   for (ReplicaKey it : active.Holders) {
-    auto &replica = State.Book.obtain(it);
-    auto state = State.Book.resident(replica, active.Key)->State;
-    bool counts = state == Hold::Loaded || (loading && state == Hold::Loading);
+    auto &replica = State.Replicas.obtain(it);
+    auto state = State.Replicas.resident(replica, active.Key)->State;
+    bool counts = state == ResidentState::Loaded ||
+                  (loading && state == ResidentState::Loading);
     bool here = pin.Domain == 0 || pin.Domain == replica.Properties.Domain;
     if (counts && here && State.Chooser.serves(replica, active))
       ++n;
--- a/Hemlockglade/Coordination/Decision/ReplicaChooser.cpp
+++ b/Hemlockglade/Coordination/Decision/ReplicaChooser.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 ReplicaChooser::ReplicaChooser(const RoutingSettings &settings,
-                               double objective, ReplicaBook &book)
+                               double objective, CellReplicas &book)
     : Settings(settings), Objective(objective), Book(book),
       Prefixes(settings.Prefixes) {}
 
@@ -117,7 +117,7 @@
 
 bool ReplicaChooser::holds(Replica &replica, AdapterKey adapter) {
   auto *resident = Book.resident(replica, adapter);
-  return resident && resident->State == Hold::Loaded;
+  return resident && resident->State == ResidentState::Loaded;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/ReplicaChooser.h
+++ b/Hemlockglade/Coordination/Decision/ReplicaChooser.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "Hemlockglade/Coordination/Decision/CellReplicas.h"
 #include "Hemlockglade/Coordination/Decision/PrefixIndex.h"
-#include "Hemlockglade/Coordination/Decision/ReplicaBook.h"
 
 namespace hemlockglade {
 
@@ -36,7 +36,7 @@
 class ReplicaChooser {
 public:
   ReplicaChooser(const RoutingSettings &settings, double objective,
-                 ReplicaBook &book);
+                 CellReplicas &book);
 
   /// Whether the replica may get new work at all.
   bool works(const Replica &replica) const;
@@ -63,7 +63,7 @@
 
   RoutingSettings Settings;
   double Objective;
-  ReplicaBook &Book;
+  CellReplicas &Book;
   PrefixIndex Prefixes;
 };
 
--- a/Hemlockglade/Coordination/Decision/RequestDesk.cpp
+++ b/Hemlockglade/Coordination/Decision/RequestAdmission.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Decision/RequestDesk.h"
+#include "Hemlockglade/Coordination/Decision/RequestAdmission.h"
 
 #include <algorithm>
 #include <cassert>
@@ -14,10 +14,10 @@
 
 } // namespace
 
-RequestDesk::RequestDesk(CellState &state)
+RequestAdmission::RequestAdmission(CellState &state)
     : State(state), Budget(state.Settings.Retries), Seen(RemembersRequests) {}
 
-void RequestDesk::arrived(const RequestArrived &event) {
+void RequestAdmission::arrived(const RequestArrived &event) {
   if (isRepeat(event.Request))
     return;
   if (State.Mode == LeaseMode::None)
@@ -47,7 +47,7 @@
   State.Adapters.release(event.Adapter);
 }
 
-bool RequestDesk::isRepeat(RequestKey request) {
+bool RequestAdmission::isRepeat(RequestKey request) {
   // Keys are counted up from one, so zero is never a key.
   auto &seen = Seen[request % Seen.size()];
   if (seen == request || State.Running.contains(request) ||
@@ -57,7 +57,7 @@
   return false;
 }
 
-void RequestDesk::finished(RequestKey request) {
+void RequestAdmission::finished(RequestKey request) {
   if (const auto *waiting = State.Queues.find(request)) {
     auto &active = State.Adapters.obtain(waiting->Arrival.Adapter);
     State.Queues.remove(request, active);
@@ -71,11 +71,11 @@
   RunningRequest run = it->second;
   State.Running.erase(it);
   State.ServiceTime += (State.Now - run.Since - State.ServiceTime) / MeanOver;
-  auto &replica = State.Book.obtain(run.Replica);
+  auto &replica = State.Replicas.obtain(run.Replica);
   replica.changeRunning(-1, State.Now);
   if (replica.ColdLeft != 0)
     --replica.ColdLeft;
-  auto *resident = State.Book.resident(replica, run.Adapter);
+  auto *resident = State.Replicas.resident(replica, run.Adapter);
   if (resident && resident->Stay == run.Stay) {
     --resident->Running;
     resident->LastUsed = State.Now;
@@ -84,19 +84,19 @@
   serveReplica(replica);
 }
 
-void RequestDesk::adopted(const RequestAdopted &event) {
+void RequestAdmission::adopted(const RequestAdopted &event) {
   if (State.Running.contains(event.Request) ||
-      State.Queues.find(event.Request) || !State.Book.find(event.Replica))
+      State.Queues.find(event.Request) || !State.Replicas.find(event.Replica))
     return;
-  auto &replica = State.Book.obtain(event.Replica);
+  auto &replica = State.Replicas.obtain(event.Replica);
   std::uint64_t stay = 0;
   if (event.Adapter != NoAdapter) {
-    auto *resident = State.Book.resident(replica, event.Adapter);
+    auto *resident = State.Replicas.resident(replica, event.Adapter);
     // It runs there, so it was loaded; a report has to confirm that it still
     // is before it gets new work.
     if (!resident)
-      resident =
-          &State.Book.add(replica, event.Adapter, Hold::Uncertain, State.Now);
+      resident = &State.Replicas.add(replica, event.Adapter,
+                                     ResidentState::Uncertain, State.Now);
     ++resident->Running;
     stay = resident->Stay;
   }
@@ -106,7 +106,7 @@
   State.refresh(event.Adapter);
 }
 
-void RequestDesk::serveAdapter(AdapterKey adapter) {
+void RequestAdmission::serveAdapter(AdapterKey adapter) {
   if (State.Mode == LeaseMode::None)
     return;
   auto *active = State.Adapters.find(adapter);
@@ -124,7 +124,7 @@
   State.Adapters.release(adapter);
 }
 
-void RequestDesk::serveReplica(Replica &replica) {
+void RequestAdmission::serveReplica(Replica &replica) {
   if (State.Mode == LeaseMode::None || State.Queues.size() == 0)
     return;
   while (replica.Present && replica.hasRoom()) {
@@ -142,7 +142,7 @@
   }
 }
 
-ActiveAdapter *RequestDesk::nextOn(Replica &replica) {
+ActiveAdapter *RequestAdmission::nextOn(Replica &replica) {
   ActiveAdapter *best = nullptr;
   auto consider = [&](ActiveAdapter *active) {
     if (!active || active->Queue.empty() ||
@@ -153,13 +153,13 @@
   };
   consider(State.Adapters.find(NoAdapter));
   for (const auto &it : replica.Adapters) {
-    if (it.State == Hold::Loaded)
+    if (it.State == ResidentState::Loaded)
       consider(State.Adapters.find(it.Adapter));
   }
   return best;
 }
 
-void RequestDesk::giveUp() {
+void RequestAdmission::giveUp() {
   while (const auto *waiting = State.Queues.due(State.Now)) {
     Instant latest = latestStart(waiting->Arrival);
     if (latest <= State.Now) {
@@ -178,17 +178,17 @@
   }
 }
 
-void RequestDesk::refuseAll(Reason why) {
+void RequestAdmission::refuseAll(Reason why) {
   while (const auto *waiting = State.Queues.lowest())
     refuseWaiting(*waiting, why);
 }
 
-void RequestDesk::admit(const RequestArrived &request, Replica &replica,
-                        Span stall, Reason why) {
+void RequestAdmission::admit(const RequestArrived &request, Replica &replica,
+                             Span stall, Reason why) {
   std::uint64_t stay = 0;
   replica.changeRunning(1, State.Now);
   if (request.Adapter != NoAdapter) {
-    auto *resident = State.Book.resident(replica, request.Adapter);
+    auto *resident = State.Replicas.resident(replica, request.Adapter);
     ++resident->Running;
     resident->LastUsed = State.Now;
     stay = resident->Stay;
@@ -200,22 +200,23 @@
   State.Out->push_back(Admit{request.Request, replica.Key, stall, why});
 }
 
-void RequestDesk::admitWaiting(RequestKey request, ActiveAdapter &active,
-                               Replica &replica, Reason why) {
+void RequestAdmission::admitWaiting(RequestKey request, ActiveAdapter &active,
+                                    Replica &replica, Reason why) {
   auto waiting = State.Queues.remove(request, active);
   if (!waiting.Stalled)
     return admit(waiting.Arrival, replica, Span{}, why);
   // Time that it waited for a place in the batch is no load stall.
-  auto *resident = State.Book.resident(replica, active.Key);
+  auto *resident = State.Replicas.resident(replica, active.Key);
   Instant loaded = std::clamp(resident->LoadedAt, waiting.Since, State.Now);
   admit(waiting.Arrival, replica, loaded - waiting.Since, Reason::AfterLoad);
 }
 
-void RequestDesk::refuse(RequestKey request, Reason why) {
+void RequestAdmission::refuse(RequestKey request, Reason why) {
   State.Out->push_back(Refuse{request, retryAfter(), why});
 }
 
-void RequestDesk::refuseWaiting(const WaitingRequest &waiting, Reason why) {
+void RequestAdmission::refuseWaiting(const WaitingRequest &waiting,
+                                     Reason why) {
   RequestKey request = waiting.Arrival.Request;
   auto &active = State.Adapters.obtain(waiting.Arrival.Adapter);
   State.Queues.remove(request, active);
@@ -224,8 +225,8 @@
   refuse(request, why);
 }
 
-bool RequestDesk::mayWait(const RequestArrived &request,
-                          const ActiveAdapter &active, Reason &why) {
+bool RequestAdmission::mayWait(const RequestArrived &request,
+                               const ActiveAdapter &active, Reason &why) {
   if (!State.Queues.roomFor(request, &active, why))
     return false;
   const auto &settings = State.Settings.Admission;
@@ -251,17 +252,17 @@
   return State.Queues.size() < State.Settings.QueueLimit || shedFor(request);
 }
 
-bool RequestDesk::isBehind(const RequestArrived &request) const {
+bool RequestAdmission::isBehind(const RequestArrived &request) const {
   return State.Planner.ahead(request.Priority) >
          State.Planner.ofClass(request.Priority);
 }
 
-bool RequestDesk::anyServes(const ActiveAdapter &active) {
-  for (const auto &it : State.Book.all()) {
+bool RequestAdmission::anyServes(const ActiveAdapter &active) {
+  for (const auto &it : State.Replicas.all()) {
     if (State.Chooser.serves(it, active))
       return true;
   }
-  for (auto &it : State.Book.all()) {
+  for (auto &it : State.Replicas.all()) {
     if (!it.Resting)
       continue;
     it.Resting = false;
@@ -274,19 +275,19 @@
   return false;
 }
 
-void RequestDesk::enqueue(const RequestArrived &request,
-                          ActiveAdapter &active) {
+void RequestAdmission::enqueue(const RequestArrived &request,
+                               ActiveAdapter &active) {
   bool stalled = request.Adapter != NoAdapter && State.servers(active) == 0;
   const auto &settings = State.Settings.Admission;
   Instant check = latestStart(request);
   if (stalled)
-    check = std::min(check - State.Turn.expected(),
+    check = std::min(check - State.Limiter.expected(),
                      State.Now + settings.LongestStall);
   State.Queues.add(request, State.Now, check, stalled, active);
   State.replan(active);
 }
 
-bool RequestDesk::shedFor(const RequestArrived &request) {
+bool RequestAdmission::shedFor(const RequestArrived &request) {
   const auto *lowest = State.Queues.lowest();
   if (!lowest || lowest->Arrival.Priority >= request.Priority)
     return false;
@@ -294,8 +295,8 @@
   return true;
 }
 
-Span RequestDesk::expectedWait(const RequestArrived &request,
-                               const ActiveAdapter &active) {
+Span RequestAdmission::expectedWait(const RequestArrived &request,
+                                    const ActiveAdapter &active) {
   if (request.Adapter == NoAdapter)
     return batchWait(active.Queue.size() + 1);
   if (State.servers(active) != 0)
@@ -308,15 +309,15 @@
   std::size_t ahead = State.Planner.ahead(request.Priority);
   if (active.Planned)
     ahead /= 2;
-  return backoff + loadWait(ahead + State.Turn.running() + 1);
+  return backoff + loadWait(ahead + State.Limiter.running() + 1);
 }
 
-Span RequestDesk::waitForRoom(const RequestArrived &request,
-                              const ActiveAdapter &active) {
+Span RequestAdmission::waitForRoom(const RequestArrived &request,
+                                   const ActiveAdapter &active) {
   std::int64_t places = 0;
   for (ReplicaKey it : active.Holders) {
     if (State.serves(it, active))
-      places += State.Book.obtain(it).Properties.Batch;
+      places += State.Replicas.obtain(it).Properties.Batch;
   }
   // Its own queue goes through its holders only, and all queues through all
   // replicas; what waits for a load does not wait for room.
@@ -326,7 +327,7 @@
   return std::max(wait, batchWait(all - std::min(all, State.Planner.firsts())));
 }
 
-Instant RequestDesk::latestStart(const RequestArrived &request) const {
+Instant RequestAdmission::latestStart(const RequestArrived &request) const {
   const auto &settings = State.Settings.Admission;
   auto prompt =
       static_cast<std::int64_t>(request.PromptTokens * MicrosecondsPerSecond /
@@ -334,17 +335,17 @@
   return request.Deadline - settings.FirstByte - Span(prompt);
 }
 
-Span RequestDesk::loadWait(std::size_t loads) const {
-  double rate = State.Turn.rate();
+Span RequestAdmission::loadWait(std::size_t loads) const {
+  double rate = State.Limiter.rate();
   if (rate <= 0)
-    return State.Turn.expected();
+    return State.Limiter.expected();
   return Span(static_cast<std::int64_t>(static_cast<double>(loads) *
                                         MicrosecondsPerSecond / rate));
 }
 
-Span RequestDesk::batchWait(std::size_t requests) const {
+Span RequestAdmission::batchWait(std::size_t requests) const {
   std::int64_t places = 0;
-  for (const auto &it : State.Book.all()) {
+  for (const auto &it : State.Replicas.all()) {
     if (it.Present && !it.Draining)
       places += it.Properties.Batch;
   }
@@ -352,7 +353,7 @@
          std::max<std::int64_t>(1, places);
 }
 
-Span RequestDesk::retryAfter() const {
+Span RequestAdmission::retryAfter() const {
   const auto &settings = State.Settings.Admission;
   Span wait =
       std::max(loadWait(State.Planner.size()), batchWait(State.Queues.size()));
--- a/Hemlockglade/Coordination/Decision/RequestDesk.h
+++ b/Hemlockglade/Coordination/Decision/RequestAdmission.h
@@ -5,9 +5,9 @@
 namespace hemlockglade {
 
 /// Admits, queues and refuses the requests of one cell.
-class RequestDesk {
+class RequestAdmission {
 public:
-  explicit RequestDesk(CellState &state);
+  explicit RequestAdmission(CellState &state);
 
   void arrived(const RequestArrived &event);
   void finished(RequestKey request);
--- a/Hemlockglade/Coordination/Decision/ResidencyTracker.cpp
+++ b/Hemlockglade/Coordination/Decision/ResidencyTracker.cpp
@@ -24,14 +24,16 @@
 
 Resident *ResidencyTracker::answered(Replica *replica, AdapterKey adapter,
                                      std::uint64_t order, bool isLoad) {
-  auto *resident = replica ? State.Book.resident(*replica, adapter) : nullptr;
+  auto *resident =
+      replica ? State.Replicas.resident(*replica, adapter) : nullptr;
   if (!resident || resident->OrderedLoad != isLoad)
     return nullptr;
-  bool open = resident->State == (isLoad ? Hold::Loading : Hold::Leaving);
+  bool open = resident->State ==
+              (isLoad ? ResidentState::Loading : ResidentState::Evicting);
   // Without a number, an answer counts only for an order that is out.
   if (order == 0 ? !open : resident->Order != order)
     return nullptr;
-  if (!open && resident->State != Hold::Uncertain)
+  if (!open && resident->State != ResidentState::Uncertain)
     return nullptr;
   return resident;
 }
@@ -42,26 +44,26 @@
 }
 
 bool ResidencyTracker::loadDone(const LoadDone &event) {
-  auto *replica = State.Book.find(event.Replica);
+  auto *replica = State.Replicas.find(event.Replica);
   auto *resident = answered(replica, event.Adapter, event.Order, true);
   if (!resident)
     return false;
   auto open = closeAnswered(*resident);
   if (open)
-    State.Turn.succeeded(State.Now - open->GivenAt, State.Now);
+    State.Limiter.onSucceeded(State.Now - open->GivenAt, State.Now);
   replica->LoadFailures = 0;
   State.Adapters.find(event.Adapter)->Failures = 0;
   if (resident->Restarted) {
-    State.setState(*replica, *resident, Hold::Uncertain);
+    State.setState(*replica, *resident, ResidentState::Uncertain);
     return false;
   }
   resident->LoadedAt = State.Now;
-  State.setState(*replica, *resident, Hold::Loaded);
+  State.setState(*replica, *resident, ResidentState::Loaded);
   return true;
 }
 
 void ResidencyTracker::loadFailed(const LoadFailed &event) {
-  auto *replica = State.Book.find(event.Replica);
+  auto *replica = State.Replicas.find(event.Replica);
   auto *resident = answered(replica, event.Adapter, event.Order, true);
   if (!resident)
     return;
@@ -69,7 +71,7 @@
   auto &active = State.Adapters.obtain(event.Adapter);
   // A load that we took back ourselves tells nothing about the store.
   if (wasOpen) {
-    State.Turn.failed(State.Now);
+    State.Limiter.onFailed(State.Now);
     backOff(*replica, active);
   }
   if (event.Unknown || resident->Overlaps)
@@ -79,7 +81,7 @@
 }
 
 bool ResidencyTracker::evictDone(const EvictDone &event) {
-  auto *replica = State.Book.find(event.Replica);
+  auto *replica = State.Replicas.find(event.Replica);
   auto *resident = answered(replica, event.Adapter, event.Order, false);
   if (!resident)
     return false;
@@ -93,19 +95,19 @@
     return false;
   }
   if (resident->Restarted || resident->WasUncertain) {
-    State.setState(*replica, *resident, Hold::Uncertain);
+    State.setState(*replica, *resident, ResidentState::Uncertain);
     return false;
   }
   // The engine has its reasons: the least residency starts again.
   resident->LoadedAt = State.Now;
-  State.setState(*replica, *resident, Hold::Loaded);
+  State.setState(*replica, *resident, ResidentState::Loaded);
   return true;
 }
 
 void ResidencyTracker::backOff(Replica &replica, ActiveAdapter &active) {
   const auto &settings = State.Settings.Placement;
   // When all loads fail alike it is not the adapter's fault.
-  if (!State.Turn.storeBad() || active.Failures == 0)
+  if (!State.Limiter.isStoreFailing() || active.Failures == 0)
     ++active.Failures;
   auto shift = std::min(active.Failures - 1, LargestShift);
   auto wait =
@@ -113,22 +115,24 @@
   active.NotBefore = State.Now + wait;
   State.Backoffs.insert({active.NotBefore, active.Key});
   ++replica.LoadFailures;
-  if (replica.LoadFailures >= ReplicaFailures && !State.Turn.storeBad())
+  if (replica.LoadFailures >= ReplicaFailures &&
+      !State.Limiter.isStoreFailing())
     replica.NoLoadBefore = State.Now + wait;
 }
 
 void ResidencyTracker::lose(Replica &replica, AdapterKey adapter) {
-  auto *resident = State.Book.resident(replica, adapter);
-  if (resident->State == Hold::Loading || resident->State == Hold::Leaving)
+  auto *resident = State.Replicas.resident(replica, adapter);
+  if (resident->State == ResidentState::Loading ||
+      resident->State == ResidentState::Evicting)
     State.closeOrder(resident->Order);
   if (resident->Running == 0)
     State.strike(replica, adapter);
   else
-    State.setState(replica, *resident, Hold::Uncertain);
+    State.setState(replica, *resident, ResidentState::Uncertain);
 }
 
 void ResidencyTracker::replicaAdded(const ReplicaAdded &event) {
-  auto &replica = State.Book.obtain(event.Replica);
+  auto &replica = State.Replicas.obtain(event.Replica);
   replica.Properties = event;
   if (replica.Present)
     return;
@@ -138,12 +142,13 @@
 }
 
 void ResidencyTracker::replicaRemoved(ReplicaKey key) {
-  auto *replica = State.Book.find(key);
+  auto *replica = State.Replicas.find(key);
   if (!replica)
     return;
   while (!replica->Adapters.empty()) {
     const auto &last = replica->Adapters.back();
-    if (last.State == Hold::Loading || last.State == Hold::Leaving)
+    if (last.State == ResidentState::Loading ||
+        last.State == ResidentState::Evicting)
       State.closeOrder(last.Order);
     State.strike(*replica, last.Adapter);
   }
@@ -153,7 +158,7 @@
 }
 
 void ResidencyTracker::draining(const ReplicaDraining &event) {
-  auto *replica = State.Book.find(event.Replica);
+  auto *replica = State.Replicas.find(event.Replica);
   if (!replica)
     return;
   replica->Draining = event.Draining;
@@ -161,7 +166,7 @@
 }
 
 void ResidencyTracker::silent(ReplicaKey key) {
-  auto *replica = State.Book.find(key);
+  auto *replica = State.Replicas.find(key);
   if (!replica)
     return;
   ++replica->Silent;
@@ -170,7 +175,7 @@
 }
 
 bool ResidencyTracker::report(const ReplicaReport &event) {
-  auto *replica = State.Book.find(event.Replica);
+  auto *replica = State.Replicas.find(event.Replica);
   if (!replica || (replica->Reported && event.TakenAt < replica->ReportAt))
     return false;
   bool wasDown = replica->Silent >= State.Settings.Routing.SilentDown;
@@ -201,12 +206,14 @@
   for (auto &it : replica.Adapters) {
     // A load ordered since then went to the new incarnation; what is
     // uncertain stays so until it is settled.
-    if (it.LoadOrderedAt > event.TakenAt || it.State == Hold::Uncertain)
+    if (it.LoadOrderedAt > event.TakenAt ||
+        it.State == ResidentState::Uncertain)
       continue;
-    if (it.State == Hold::Loading || it.State == Hold::Leaving)
+    if (it.State == ResidentState::Loading ||
+        it.State == ResidentState::Evicting)
       it.Restarted = true;
     else if (it.ChangedAt >= event.TakenAt)
-      State.setState(replica, it, Hold::Uncertain);
+      State.setState(replica, it, ResidentState::Uncertain);
     else if (!reportedIn(event, it.Adapter))
       Gone.push_back(it.Adapter);
   }
@@ -224,18 +231,18 @@
       takeAnswer(replica, resident);
       continue;
     }
-    bool settled =
-        resident.State == Hold::Loaded || resident.State == Hold::Uncertain;
+    bool settled = resident.State == ResidentState::Loaded ||
+                   resident.State == ResidentState::Uncertain;
     if (!settled || event.TakenAt <= resident.ChangedAt)
       continue;
-    if (resident.State == Hold::Loaded && !reported)
+    if (resident.State == ResidentState::Loaded && !reported)
       Gone.push_back(resident.Adapter);
-    if (resident.State != Hold::Uncertain ||
+    if (resident.State != ResidentState::Uncertain ||
         event.TakenAt <= resident.SettledAfter)
       continue;
     if (reported) {
       resident.LoadedAt = State.Now;
-      State.setState(replica, resident, Hold::Loaded);
+      State.setState(replica, resident, ResidentState::Loaded);
     } else if (resident.Running == 0) {
       Gone.push_back(resident.Adapter);
     }
@@ -253,28 +260,29 @@
   if (resident.Overlaps || resident.Restarted ||
       event.TakenAt <= resident.ChangedAt)
     return false;
-  return (resident.State == Hold::Loading && reported) ||
-         (resident.State == Hold::Leaving && !reported);
+  return (resident.State == ResidentState::Loading && reported) ||
+         (resident.State == ResidentState::Evicting && !reported);
 }
 
 void ResidencyTracker::takeAnswer(Replica &replica, Resident &resident) {
-  bool isLoad = resident.State == Hold::Loading;
+  bool isLoad = resident.State == ResidentState::Loading;
   auto open = closeAnswered(resident);
   if (!isLoad)
     return Gone.push_back(resident.Adapter);
   if (open)
-    State.Turn.succeeded(State.Now - open->GivenAt, State.Now);
+    State.Limiter.onSucceeded(State.Now - open->GivenAt, State.Now);
   State.Adapters.find(resident.Adapter)->Failures = 0;
   resident.LoadedAt = State.Now;
-  State.setState(replica, resident, Hold::Loaded);
+  State.setState(replica, resident, ResidentState::Loaded);
 }
 
 void ResidencyTracker::addReported(Replica &replica,
                                    const ReplicaReport &event) {
   for (const auto &it : event.Resident) {
-    if (it.Adapter == NoAdapter || State.Book.resident(replica, it.Adapter))
+    if (it.Adapter == NoAdapter || State.Replicas.resident(replica, it.Adapter))
       continue;
-    auto &added = State.Book.add(replica, it.Adapter, Hold::Loaded, State.Now);
+    auto &added = State.Replicas.add(replica, it.Adapter, ResidentState::Loaded,
+                                     State.Now);
     added.FromReport = true;
     added.Reported = it.Running;
     // Nothing was used by us, so this very report counts.
@@ -287,7 +295,7 @@
 void ResidencyTracker::expireOrders() {
   const auto &settings = State.Settings.Placement;
   Span loadTimeout = std::max(settings.OrderTimeout,
-                              State.Turn.expected() * settings.LoadTimes);
+                              State.Limiter.expected() * settings.LoadTimes);
   for (std::size_t it = 0; it < State.Orders.size();) {
     OpenOrder open = State.Orders[it];
     Span timeout = open.IsLoad ? loadTimeout : settings.OrderTimeout;
@@ -297,8 +305,8 @@
       continue;
     }
     State.closeOrder(open.Order);
-    auto &replica = State.Book.obtain(open.Replica);
-    auto *resident = State.Book.resident(replica, open.Adapter);
+    auto &replica = State.Replicas.obtain(open.Replica);
+    auto *resident = State.Replicas.resident(replica, open.Adapter);
     if (resident && resident->Order == open.Order)
       State.setUncertain(replica, *resident);
   }
@@ -306,18 +314,18 @@
 
 void ResidencyTracker::markOverdue(OpenOrder &open) {
   const auto &settings = State.Settings.Placement;
-  Span due =
-      std::max(settings.Overdue, State.Turn.expected() * settings.OverdueTimes);
+  Span due = std::max(settings.Overdue,
+                      State.Limiter.expected() * settings.OverdueTimes);
   auto overdue = [](const OpenOrder &it) { return it.Overdue; };
   bool first = std::none_of(State.Orders.begin(), State.Orders.end(), overdue);
   if (!open.IsLoad || !first || State.Now - open.GivenAt < due)
     return;
   open.Overdue = true;
-  State.Turn.dropped();
+  State.Limiter.onEnded();
 }
 
 void ResidencyTracker::forgetAll() {
-  for (auto &replica : State.Book.all()) {
+  for (auto &replica : State.Replicas.all()) {
     if (!replica.Present)
       continue;
     Gone.clear();
--- a/Hemlockglade/Coordination/Entries/EntryLoad.cpp
+++ b/Hemlockglade/Coordination/Entries/EntryLoad.cpp
@@ -22,7 +22,8 @@
   return *this;
 }
 
-double EntryCost::shareOf(const HostMeans &host, const EntryLoad &load) const {
+double EntryCost::shareOf(const HostCapacity &host,
+                          const EntryLoad &load) const {
   auto megabytes = load.Bytes / Megabyte;
   auto processor =
       SecondsPerRequest * load.Requests + SecondsPerMegabyte * megabytes;
@@ -31,28 +32,28 @@
                   BitsPerByte * megabytes / host.LinkMbps);
 }
 
-double strengthOf(const HostMeans &host) {
+double relativeCapacity(const HostCapacity &host) {
   return 1 / EntryCost().shareOf(host, UsualRequest);
 }
 
-void EntryMeter::onRequest(Instant now) {
+void EntryLoadMeter::onRequest(Instant now) {
   Counted = faded(now);
   At = now;
   Counted.Requests += 1;
 }
 
-void EntryMeter::onBytes(std::uint64_t n, Instant now) {
+void EntryLoadMeter::onBytes(std::uint64_t n, Instant now) {
   Counted = faded(now);
   At = now;
   Counted.Bytes += static_cast<double>(n);
 }
 
-EntryLoad EntryMeter::faded(Instant now) const {
+EntryLoad EntryLoadMeter::faded(Instant now) const {
   auto part = std::exp2(-inSeconds(now - At) / inSeconds(Setup.HalfLife));
   return {Counted.Requests * part, Counted.Bytes * part};
 }
 
-EntryLoad EntryMeter::load(Instant now) const {
+EntryLoad EntryLoadMeter::load(Instant now) const {
   // A steady rate settles at itself times half life / ln 2.
   auto perSecond = std::numbers::ln2 / inSeconds(Setup.HalfLife);
   auto out = faded(now);
--- a/Hemlockglade/Coordination/Entries/EntryLoad.h
+++ b/Hemlockglade/Coordination/Entries/EntryLoad.h
@@ -14,7 +14,7 @@
 };
 
 /// What a host gives a node.
-struct HostMeans {
+struct HostCapacity {
   double Cores = 1;
   double LinkMbps = 1000;
 };
@@ -27,21 +27,21 @@
 
   /// The larger of the shares of processor and link that a load takes; above 1
   /// it does not fit.
-  double shareOf(const HostMeans &host, const EntryLoad &load) const;
+  double shareOf(const HostCapacity &host, const EntryLoad &load) const;
 };
 
 /// Loads like the usual one that a host could carry, to compare hosts.
-double strengthOf(const HostMeans &host);
+double relativeCapacity(const HostCapacity &host);
 
 /// Measures one node's load, with a half life.
-class EntryMeter {
+class EntryLoadMeter {
 public:
   struct Settings {
     Span HalfLife = std::chrono::seconds(1);
   };
 
-  EntryMeter() : EntryMeter(Settings{}) {}
-  explicit EntryMeter(Settings settings) : Setup(settings) {}
+  EntryLoadMeter() : EntryLoadMeter(Settings{}) {}
+  explicit EntryLoadMeter(Settings settings) : Setup(settings) {}
 
   void onRequest(Instant now);
   /// A request is over that moved so many bytes.
--- a/Hemlockglade/Coordination/Entries/EntryRoster.h
+++ b/Hemlockglade/Coordination/Entries/EntrySelector.h
@@ -12,7 +12,7 @@
 struct EntryCandidate {
   std::string Node;
   std::string CallerAddress;
-  HostMeans Host;
+  HostCapacity Host;
 
   bool operator==(const EntryCandidate &other) const {
     return Node == other.Node && CallerAddress == other.CallerAddress;
@@ -28,7 +28,7 @@
 /// Strongest first, and as many as the load needs: callers share themselves out
 /// evenly, so each has to bear an even share. The same candidates and load give
 /// the same choice at every owner, but for how long it takes to shrink.
-class EntryRoster {
+class EntrySelector {
 public:
   struct Settings {
     /// Part of its processor or link that the load may take of a node, so that
@@ -41,7 +41,7 @@
     EntryCost Cost;
   };
 
-  explicit EntryRoster(Settings settings) : Setup(settings) {}
+  explicit EntrySelector(Settings settings) : Setup(settings) {}
 
   /// Chooses among all that are ready; `load` is that of the failure domain.
   std::vector<EntryCandidate> choose(std::span<const EntryCandidate> ready,
--- a/Hemlockglade/Coordination/Entries/EntryBoard.cpp
+++ b/Hemlockglade/Coordination/Entries/ServingEntries.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Entries/EntryBoard.h"
+#include "Hemlockglade/Coordination/Entries/ServingEntries.h"
 
 #include <algorithm>
 #include <set>
@@ -17,12 +17,13 @@
 
 } // namespace
 
-void EntryBoard::onTold(const std::string &cell,
-                        std::vector<DomainEntries> told) {
+void ServingEntries::update(const std::string &cell,
+                            std::vector<DomainEntries> told) {
   Told[cell] = std::move(told);
 }
 
-std::vector<EntryCandidate> EntryBoard::of(const std::string &domain) const {
+std::vector<EntryCandidate>
+ServingEntries::inDomain(const std::string &domain) const {
   if (auto own = Told.find(domain); own != Told.end())
     if (const auto *entries = find(own->second, domain))
       return *entries;
@@ -32,27 +33,27 @@
   return {};
 }
 
-std::vector<EntryCandidate> EntryBoard::all() const {
+std::vector<EntryCandidate> ServingEntries::all() const {
   std::set<std::string> domains;
   for (const auto &[cell, told] : Told)
     for (const auto &it : told)
       domains.insert(it.FailureDomain);
   std::vector<EntryCandidate> out;
   for (const auto &domain : domains)
-    for (auto &it : of(domain))
+    for (auto &it : inDomain(domain))
       out.push_back(std::move(it));
   return out;
 }
 
-bool EntryBoard::serves(const std::string &node,
-                        const std::string &domain) const {
-  auto entries = of(domain);
+bool ServingEntries::serves(const std::string &node,
+                            const std::string &domain) const {
+  auto entries = inDomain(domain);
   return std::any_of(entries.begin(), entries.end(),
                      [&node](const auto &it) { return it.Node == node; });
 }
 
-double EntryBoard::partOf(const std::string &node,
-                          const std::string &domain) const {
+double ServingEntries::shareOf(const std::string &node,
+                               const std::string &domain) const {
   if (!serves(node, domain))
     return 0;
   return 1 / static_cast<double>(all().size());
--- a/Hemlockglade/Coordination/Entries/EntryBoard.h
+++ b/Hemlockglade/Coordination/Entries/ServingEntries.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Entries/EntryRoster.h"
+#include "Hemlockglade/Coordination/Entries/EntrySelector.h"
 
 #include <map>
 
@@ -18,21 +18,21 @@
 /// owner of a failure domain's own cell hears of all its nodes, that of another
 /// cell only of those that serve: its word counts while the first is silent.
 /// No clock, no sockets.
-class EntryBoard {
+class ServingEntries {
 public:
   /// The owner of a cell tells who serves; replaces what it told before.
-  void onTold(const std::string &cell, std::vector<DomainEntries> told);
+  void update(const std::string &cell, std::vector<DomainEntries> told);
   /// It is lost or silent: what it told does not count any more.
   void forget(const std::string &cell) { Told.erase(cell); }
 
   /// Who serves a failure domain; empty if nobody knows.
-  std::vector<EntryCandidate> of(const std::string &domain) const;
+  std::vector<EntryCandidate> inDomain(const std::string &domain) const;
   /// Who serves any failure domain.
   std::vector<EntryCandidate> all() const;
   bool serves(const std::string &node, const std::string &domain) const;
   /// Part of what all nodes in service share that is this node's: none if it is
   /// not one of them, or if they are not known.
-  double partOf(const std::string &node, const std::string &domain) const;
+  double shareOf(const std::string &node, const std::string &domain) const;
 
 private:
   std::map<std::string, std::vector<DomainEntries>> Told;
--- a/Hemlockglade/Coordination/Lease/LeaseKeeper.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseManager.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Lease/LeaseKeeper.h"
+#include "Hemlockglade/Coordination/Lease/LeaseManager.h"
 
 #include "Hemlockglade/Coordination/Lease/LeaseRows.h"
 #include <algorithm>
@@ -12,13 +12,13 @@
 
 } // namespace
 
-LeaseKeeper::LeaseKeeper(const LeaseSettings &settings, NodeRecord self,
-                         TableHooks table, LeaseHooks hooks)
+LeaseManager::LeaseManager(const LeaseSettings &settings, NodeRecord self,
+                           TableHooks table, LeaseHooks hooks)
     : Settings(settings), Table(std::move(table)), Hooks(std::move(hooks)),
       Name(self.Name), Own(settings, std::move(self)), View(settings) {}
 
-void LeaseKeeper::get(std::string key,
-                      TableCallback<std::optional<TableRow>> done) {
+void LeaseManager::get(std::string key,
+                       TableCallback<std::optional<TableRow>> done) {
   {
     std::lock_guard lock(Mutex);
     ++Counts.Gets;
@@ -34,8 +34,8 @@
             });
 }
 
-void LeaseKeeper::commit(TableTransaction transaction,
-                         TableCallback<std::uint64_t> done) {
+void LeaseManager::commit(TableTransaction transaction,
+                          TableCallback<std::uint64_t> done) {
   {
     std::lock_guard lock(Mutex);
     ++Counts.Commits;
@@ -51,7 +51,7 @@
   });
 }
 
-void LeaseKeeper::round(std::vector<std::string> cells) {
+void LeaseManager::round(std::vector<std::string> cells) {
   bool leaving = false;
   {
     std::lock_guard lock(Mutex);
@@ -68,7 +68,7 @@
     act();
 }
 
-void LeaseKeeper::renew() {
+void LeaseManager::renew() {
   Instant now = Hooks.Now();
   bool read = false;
   {
@@ -97,7 +97,7 @@
     sendRenewal();
 }
 
-void LeaseKeeper::sendRenewal() {
+void LeaseManager::sendRenewal() {
   Instant now = Hooks.Now();
   TableTransaction transaction;
   {
@@ -116,7 +116,7 @@
          });
 }
 
-void LeaseKeeper::onRenewed(
+void LeaseManager::onRenewed(
     const std::string &attempt,
     const tl::expected<std::uint64_t, TableError> &result) {
   Instant now = Hooks.Now();
@@ -138,7 +138,7 @@
     readOwn([] {});
 }
 
-void LeaseKeeper::readOwn(std::function<void()> then) {
+void LeaseManager::readOwn(std::function<void()> then) {
   get(lease_rows::nodeKey(Name),
       [self = shared_from_this(), asked = Hooks.Now(),
        then = std::move(then)](auto row) {
@@ -156,7 +156,7 @@
       });
 }
 
-void LeaseKeeper::takeOwn(const std::optional<TableRow> &row, Instant now) {
+void LeaseManager::takeOwn(const std::optional<TableRow> &row, Instant now) {
   auto owned = ownedCells();
   if (Own.take(row))
     loseAll(owned);
@@ -164,7 +164,7 @@
     View.see(*sight, now);
 }
 
-bool LeaseKeeper::startScan() {
+bool LeaseManager::startScan() {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
   if (ScanStarted && now - *ScanStarted < Settings.ScanInterval)
@@ -174,7 +174,7 @@
   return true;
 }
 
-void LeaseKeeper::scan() {
+void LeaseManager::scan() {
   auto self = shared_from_this();
   Table.Scan(std::string(lease_rows::NodePrefix), [self](auto nodes) {
     if (!nodes)
@@ -190,9 +190,9 @@
   });
 }
 
-void LeaseKeeper::takeNodes(const std::vector<TableRow> &rows) {
+void LeaseManager::takeNodes(const std::vector<TableRow> &rows) {
   Instant now = Hooks.Now();
-  std::vector<NodeSight> sights;
+  std::vector<NodeRow> sights;
   for (const auto &row : rows) {
     if (auto sight = lease_rows::sightOfNode(row))
       sights.push_back(std::move(*sight));
@@ -205,7 +205,7 @@
     View.see(*sight, now);
 }
 
-void LeaseKeeper::takeCells(const std::vector<TableRow> &rows) {
+void LeaseManager::takeCells(const std::vector<TableRow> &rows) {
   Instant now = Hooks.Now();
   {
     std::lock_guard lock(Mutex);
@@ -223,7 +223,7 @@
   deliver();
 }
 
-void LeaseKeeper::removeStale() {
+void LeaseManager::removeStale() {
   Instant now = Hooks.Now();
   TableTransaction transaction;
   {
@@ -242,14 +242,14 @@
   commit(std::move(transaction), [](auto) {});
 }
 
-void LeaseKeeper::noteNode(const NodeSight &sight) {
+void LeaseManager::onNodeRow(const NodeRow &sight) {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
   if (sight.Record.Name != Name)
     View.hear(sight, now);
 }
 
-void LeaseKeeper::noteCell(const std::string &cell, const CellSight &sight) {
+void LeaseManager::onCellRow(const std::string &cell, const CellRow &sight) {
   bool read = false;
   {
     std::lock_guard lock(Mutex);
@@ -267,7 +267,7 @@
     act();
 }
 
-void LeaseKeeper::look(const std::string &cell) {
+void LeaseManager::refreshCell(const std::string &cell) {
   {
     std::lock_guard lock(Mutex);
     if (!BusyCells.insert(cell).second)
@@ -279,14 +279,14 @@
   });
 }
 
-void LeaseKeeper::takeLeaving(const std::string &cell) {
+void LeaseManager::takeLeaving(const std::string &cell) {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
   if (it != Cells.end() && it->second.Record.Owner.empty())
     View.seeLeaving(it->second.Record.FormerIncarnation);
 }
 
-void LeaseKeeper::deliver() {
+void LeaseManager::deliver() {
   std::unique_lock lock(Mutex);
   if (Delivering)
     return;
@@ -304,11 +304,11 @@
   Delivering = false;
 }
 
-bool LeaseKeeper::holds(const std::string &cell) const {
+bool LeaseManager::holds(const std::string &cell) const {
   return modeOf(cell) == LeaseMode::Held;
 }
 
-LeaseMode LeaseKeeper::modeOf(const std::string &cell) const {
+LeaseMode LeaseManager::modeOf(const std::string &cell) const {
   Instant end;
   {
     std::lock_guard lock(Mutex);
@@ -321,7 +321,7 @@
   return Hooks.Now() < end ? LeaseMode::Held : LeaseMode::Doubtful;
 }
 
-std::optional<NodeRecord> LeaseKeeper::ownerOf(const std::string &cell) const {
+std::optional<NodeRecord> LeaseManager::ownerOf(const std::string &cell) const {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
@@ -333,20 +333,20 @@
   return node->Record;
 }
 
-std::vector<NodeRecord> LeaseKeeper::nodes() const {
+std::vector<NodeRecord> LeaseManager::nodes() const {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
   return View.live(now);
 }
 
-Epoch LeaseKeeper::fenceOf(const std::string &cell) const {
+Epoch LeaseManager::fenceOf(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
   bool ours = !Leaving && it != Cells.end() && isOurs(it->second.Record);
   return ours ? it->second.Record.Fence : 0;
 }
 
-std::map<std::string, CellRecord> LeaseKeeper::cells() const {
+std::map<std::string, CellRecord> LeaseManager::cells() const {
   std::lock_guard lock(Mutex);
   std::map<std::string, CellRecord> out;
   for (const auto &[name, cell] : Cells)
@@ -354,23 +354,23 @@
   return out;
 }
 
-std::optional<NodeSight> LeaseKeeper::self() const {
+std::optional<NodeRow> LeaseManager::self() const {
   std::lock_guard lock(Mutex);
   return Own.sight();
 }
 
-std::optional<CellSight> LeaseKeeper::cell(const std::string &cell) const {
+std::optional<CellRow> LeaseManager::cell(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
   return it == Cells.end() ? std::nullopt : std::optional(it->second);
 }
 
-bool LeaseKeeper::superseded() const {
+bool LeaseManager::superseded() const {
   std::lock_guard lock(Mutex);
   return Own.superseded();
 }
 
-LeaseCounts LeaseKeeper::counts() const {
+LeaseCounts LeaseManager::counts() const {
   std::lock_guard lock(Mutex);
   return Counts;
 }
--- a/Hemlockglade/Coordination/Lease/LeaseKeeper.h
+++ b/Hemlockglade/Coordination/Lease/LeaseManager.h
@@ -20,10 +20,10 @@
 /// version that was seen unchanged, so a renewal in between makes it fail, and
 /// marking makes each later renewal fail. Cells of an incarnation whose lease
 /// is over may be taken.
-class LeaseKeeper : public std::enable_shared_from_this<LeaseKeeper> {
+class LeaseManager : public std::enable_shared_from_this<LeaseManager> {
 public:
-  LeaseKeeper(const LeaseSettings &settings, NodeRecord self, TableHooks table,
-              LeaseHooks hooks);
+  LeaseManager(const LeaseSettings &settings, NodeRecord self, TableHooks table,
+               LeaseHooks hooks);
 
   /// Renews the lease, looks at all rows if that is due, and takes those of
   /// `cells` that are due to us. Call it several times in a lease's duration.
@@ -35,12 +35,12 @@
   /// The node is idle and goes: ends the lease, so that nobody waits for it.
   void retire(std::function<void()> done);
   /// What another node told us of a lease row.
-  void noteNode(const NodeSight &sight);
+  void onNodeRow(const NodeRow &sight);
   /// What another node told us of an ownership row.
-  void noteCell(const std::string &cell, const CellSight &sight);
+  void onCellRow(const std::string &cell, const CellRow &sight);
   /// Another node told us that a cell has changed hands: reads its row at once
   /// instead of at the next scan, and takes the cell if it is due to us.
-  void look(const std::string &cell);
+  void refreshCell(const std::string &cell);
 
   /// Whether an order may be given that only the owner may give. Check it
   /// right before each order.
@@ -57,9 +57,9 @@
   /// All cells and their owners as last seen.
   std::map<std::string, CellRecord> cells() const;
   /// Our lease row as last confirmed, for telling others; nothing before.
-  std::optional<NodeSight> self() const;
+  std::optional<NodeRow> self() const;
   /// An ownership row as last seen, for telling others.
-  std::optional<CellSight> cell(const std::string &cell) const;
+  std::optional<CellRow> cell(const std::string &cell) const;
   /// A later process of the same name has taken our row; this one can't go on.
   bool superseded() const;
   LeaseCounts counts() const;
@@ -86,7 +86,7 @@
   void check(const std::string &owner, const std::string &incarnation);
   void onChecked(const std::string &owner, const std::string &incarnation,
                  const std::optional<TableRow> &row);
-  void fence(const NodeSight &sight);
+  void fence(const NodeRow &sight);
   void claim(const std::string &cell);
   void takeLeaving(const std::string &cell);
   void writeCell(const std::string &cell, const CellRecord &record,
@@ -97,7 +97,7 @@
   void deliver();
 
   // All below need the lock.
-  void takeCell(const std::string &cell, const CellSight &sight);
+  void takeCell(const std::string &cell, const CellRow &sight);
   bool isOurs(const CellRecord &cell) const;
   bool mayClaim(const std::string &cell, Instant now) const;
   std::vector<std::string> ownedCells() const;
@@ -120,7 +120,7 @@
   std::optional<Instant> ScanStarted;
   /// When the first scan of all rows was answered.
   std::optional<Instant> ScannedAt;
-  std::map<std::string, CellSight> Cells;
+  std::map<std::string, CellRow> Cells;
   std::vector<std::string> Wanted;
   /// Cells and owners with an operation of ours in flight.
   std::set<std::string> BusyCells;
--- a/Hemlockglade/Coordination/Lease/LeaseKeeperCells.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseManagerCells.cpp
@@ -1,6 +1,6 @@
 // How the lease keeper takes, checks and gives up cells.
 
-#include "Hemlockglade/Coordination/Lease/LeaseKeeper.h"
+#include "Hemlockglade/Coordination/Lease/LeaseManager.h"
 #include "Hemlockglade/Coordination/Lease/LeaseRows.h"
 
 #include <atomic>
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void LeaseKeeper::act() {
+void LeaseManager::act() {
   Instant now = Hooks.Now();
   std::vector<std::string> due;
   std::map<std::string, std::string> suspects;
@@ -56,7 +56,7 @@
     check(owner, incarnation);
 }
 
-bool LeaseKeeper::mayClaim(const std::string &cell, Instant now) const {
+bool LeaseManager::mayClaim(const std::string &cell, Instant now) const {
   auto it = Cells.find(cell);
   if (it == Cells.end())
     return ScannedAt && now >= *ScannedAt + Settings.SettleTime;
@@ -64,8 +64,8 @@
          View.isOver(it->second.Record.Incarnation, now);
 }
 
-void LeaseKeeper::check(const std::string &owner,
-                        const std::string &incarnation) {
+void LeaseManager::check(const std::string &owner,
+                         const std::string &incarnation) {
   get(lease_rows::nodeKey(owner),
       [self = shared_from_this(), owner, incarnation](auto row) {
         if (row)
@@ -75,9 +75,9 @@
       });
 }
 
-void LeaseKeeper::onChecked(const std::string &owner,
-                            const std::string &incarnation,
-                            const std::optional<TableRow> &row) {
+void LeaseManager::onChecked(const std::string &owner,
+                             const std::string &incarnation,
+                             const std::optional<TableRow> &row) {
   Instant now = Hooks.Now();
   auto sight = row ? lease_rows::sightOfNode(*row) : std::nullopt;
   bool silent = false;
@@ -100,7 +100,7 @@
     act();
 }
 
-void LeaseKeeper::fence(const NodeSight &sight) {
+void LeaseManager::fence(const NodeRow &sight) {
   auto over = sight.Record;
   over.Over = true;
   TableTransaction transaction;
@@ -125,7 +125,7 @@
          });
 }
 
-void LeaseKeeper::claim(const std::string &cell) {
+void LeaseManager::claim(const std::string &cell) {
   Instant now = Hooks.Now();
   CellRecord record;
   std::uint64_t version = 0;
@@ -151,8 +151,9 @@
   writeCell(cell, record, version, [] {});
 }
 
-void LeaseKeeper::writeCell(const std::string &cell, const CellRecord &record,
-                            std::uint64_t version, std::function<void()> then) {
+void LeaseManager::writeCell(const std::string &cell, const CellRecord &record,
+                             std::uint64_t version,
+                             std::function<void()> then) {
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
@@ -177,8 +178,8 @@
          });
 }
 
-void LeaseKeeper::readCell(const std::string &cell,
-                           std::function<void()> then) {
+void LeaseManager::readCell(const std::string &cell,
+                            std::function<void()> then) {
   get(lease_rows::cellKey(cell), [self = shared_from_this(), cell,
                                   then = std::move(then)](auto row) {
     {
@@ -193,7 +194,7 @@
   });
 }
 
-void LeaseKeeper::release(std::function<void()> done) {
+void LeaseManager::release(std::function<void()> done) {
   {
     std::lock_guard lock(Mutex);
     loseAll(ownedCells());
@@ -207,8 +208,8 @@
   releaseCells(std::move(done));
 }
 
-void LeaseKeeper::releaseCells(std::function<void()> done) {
-  std::vector<std::pair<std::string, CellSight>> owned;
+void LeaseManager::releaseCells(std::function<void()> done) {
+  std::vector<std::pair<std::string, CellRow>> owned;
   {
     std::lock_guard lock(Mutex);
     for (const auto &[name, cell] : Cells) {
@@ -226,7 +227,7 @@
   }
 }
 
-void LeaseKeeper::retire(std::function<void()> done) {
+void LeaseManager::retire(std::function<void()> done) {
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
@@ -239,7 +240,7 @@
   commit(std::move(transaction), [done = std::move(done)](auto) { done(); });
 }
 
-void LeaseKeeper::takeCell(const std::string &cell, const CellSight &sight) {
+void LeaseManager::takeCell(const std::string &cell, const CellRow &sight) {
   auto &known = Cells[cell];
   if (known.Version >= sight.Version)
     return;
@@ -254,11 +255,11 @@
     Events.push_back({cell, 0});
 }
 
-bool LeaseKeeper::isOurs(const CellRecord &cell) const {
+bool LeaseManager::isOurs(const CellRecord &cell) const {
   return cell.Owner == Name && cell.Incarnation == Own.record().Incarnation;
 }
 
-std::vector<std::string> LeaseKeeper::ownedCells() const {
+std::vector<std::string> LeaseManager::ownedCells() const {
   std::vector<std::string> out;
   for (const auto &[name, cell] : Cells) {
     if (!Leaving && isOurs(cell.Record))
@@ -267,7 +268,7 @@
   return out;
 }
 
-void LeaseKeeper::loseAll(const std::vector<std::string> &owned) {
+void LeaseManager::loseAll(const std::vector<std::string> &owned) {
   for (const auto &cell : owned)
     Events.push_back({cell, 0});
 }
--- a/Hemlockglade/Coordination/Lease/LeaseRows.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseRows.cpp
@@ -86,18 +86,18 @@
   return Written<CellRecord>{record, textOf(node, "attempt")};
 }
 
-std::optional<NodeSight> sightOfNode(const TableRow &row) {
+std::optional<NodeRow> sightOfNode(const TableRow &row) {
   auto written = readNode(row.Value);
   if (!written)
     return std::nullopt;
-  return NodeSight{written->Value, row.Version};
+  return NodeRow{written->Value, row.Version};
 }
 
-std::optional<CellSight> sightOfCell(const TableRow &row) {
+std::optional<CellRow> sightOfCell(const TableRow &row) {
   auto written = readCell(row.Value);
   if (!written)
     return std::nullopt;
-  return CellSight{written->Value, row.Version};
+  return CellRow{written->Value, row.Version};
 }
 
 } // namespace hemlockglade::lease_rows
--- a/Hemlockglade/Coordination/Lease/LeaseRows.h
+++ b/Hemlockglade/Coordination/Lease/LeaseRows.h
@@ -24,7 +24,7 @@
 std::optional<Written<NodeRecord>> readNode(const std::string &text);
 /// Nothing if the text is no ownership row.
 std::optional<Written<CellRecord>> readCell(const std::string &text);
-std::optional<NodeSight> sightOfNode(const TableRow &row);
-std::optional<CellSight> sightOfCell(const TableRow &row);
+std::optional<NodeRow> sightOfNode(const TableRow &row);
+std::optional<CellRow> sightOfCell(const TableRow &row);
 
 } // namespace hemlockglade::lease_rows
--- a/Hemlockglade/Coordination/Lease/LeaseTypes.h
+++ b/Hemlockglade/Coordination/Lease/LeaseTypes.h
@@ -39,13 +39,13 @@
 std::string_view processOf(std::string_view incarnation);
 
 /// A node's record and the version of the row that it was read from.
-struct NodeSight {
+struct NodeRow {
   NodeRecord Record;
   std::uint64_t Version = 0;
 };
 
 /// A cell's record and the version of the row that it was read from.
-struct CellSight {
+struct CellRow {
   CellRecord Record;
   std::uint64_t Version = 0;
 };
--- a/Hemlockglade/Coordination/Lease/LeaseView.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseView.cpp
@@ -12,7 +12,7 @@
   LastContact = std::max(LastContact, now);
 }
 
-void LeaseView::see(const NodeSight &sight, Instant now) {
+void LeaseView::see(const NodeRow &sight, Instant now) {
   auto [it, added] = Nodes.try_emplace(sight.Record.Name, Seen{sight, now});
   auto &seen = it->second;
   bool changed = seen.Sight.Version != sight.Version ||
@@ -23,13 +23,13 @@
     Over.insert(sight.Record.Incarnation);
 }
 
-void LeaseView::hear(const NodeSight &sight, Instant now) {
+void LeaseView::hear(const NodeRow &sight, Instant now) {
   auto it = Nodes.find(sight.Record.Name);
   if (it == Nodes.end() || it->second.Sight.Version < sight.Version)
     see(sight, now);
 }
 
-void LeaseView::seeAll(const std::vector<NodeSight> &sights, Instant now) {
+void LeaseView::seeAll(const std::vector<NodeRow> &sights, Instant now) {
   std::set<std::string> names;
   for (const auto &sight : sights) {
     see(sight, now);
@@ -116,7 +116,7 @@
   return best;
 }
 
-std::optional<NodeSight> LeaseView::find(const std::string &node) const {
+std::optional<NodeRow> LeaseView::find(const std::string &node) const {
   auto it = Nodes.find(node);
   return it == Nodes.end() ? std::nullopt : std::optional(it->second.Sight);
 }
@@ -130,8 +130,8 @@
   return out;
 }
 
-std::vector<NodeSight> LeaseView::stale(Instant now) const {
-  std::vector<NodeSight> out;
+std::vector<NodeRow> LeaseView::stale(Instant now) const {
+  std::vector<NodeRow> out;
   for (const auto &[name, node] : Nodes) {
     if (!lives(node, now) &&
         unchangedFor(node.ChangedAt, now) >= Settings.RowKeep)
--- a/Hemlockglade/Coordination/Lease/LeaseView.h
+++ b/Hemlockglade/Coordination/Lease/LeaseView.h
@@ -18,11 +18,11 @@
   /// others may have been cut off as we were.
   void onContact(Instant now);
   /// A row as read from the table.
-  void see(const NodeSight &sight, Instant now);
+  void see(const NodeRow &sight, Instant now);
   /// A row as told by another node; an older one is ignored.
-  void hear(const NodeSight &sight, Instant now);
+  void hear(const NodeRow &sight, Instant now);
   /// All rows there are.
-  void seeAll(const std::vector<NodeSight> &sights, Instant now);
+  void seeAll(const std::vector<NodeRow> &sights, Instant now);
   /// The node's row is not there, or is of another incarnation.
   void seeGone(const std::string &incarnation, Instant now);
   /// The incarnation has released a cell, which only a leaving node does.
@@ -43,14 +43,14 @@
               Instant now) const;
   /// Name of the live node that should take the cell; empty if there is none.
   std::string preferred(const std::string &cell, Instant now) const;
-  std::optional<NodeSight> find(const std::string &node) const;
+  std::optional<NodeRow> find(const std::string &node) const;
   std::vector<NodeRecord> live(Instant now) const;
   /// Rows of dead nodes that were unchanged for RowKeep.
-  std::vector<NodeSight> stale(Instant now) const;
+  std::vector<NodeRow> stale(Instant now) const;
 
 private:
   struct Seen {
-    NodeSight Sight;
+    NodeRow Sight;
     Instant ChangedAt{};
   };
 
--- a/Hemlockglade/Coordination/Lease/OwnLease.cpp
+++ b/Hemlockglade/Coordination/Lease/OwnLease.cpp
@@ -72,10 +72,10 @@
   return true;
 }
 
-std::optional<NodeSight> OwnLease::sight() const {
+std::optional<NodeRow> OwnLease::sight() const {
   if (!Established || !Version)
     return std::nullopt;
-  return NodeSight{Self, *Version};
+  return NodeRow{Self, *Version};
 }
 
 bool OwnLease::ofThisProcess(const std::string &incarnation) const {
--- a/Hemlockglade/Coordination/Lease/OwnLease.h
+++ b/Hemlockglade/Coordination/Lease/OwnLease.h
@@ -43,7 +43,7 @@
   const NodeRecord &record() const { return Self; }
   void setLeaving() { Self.Leaving = true; }
   /// Our row as last confirmed; nothing before.
-  std::optional<NodeSight> sight() const;
+  std::optional<NodeRow> sight() const;
 
 private:
   /// A renewal whose end is not known.
--- a/Hemlockglade/Coordination/Membership/Membership.cpp
+++ b/Hemlockglade/Coordination/Membership/Membership.cpp
@@ -323,7 +323,7 @@
     gossip(std::move(it));
 }
 
-void Membership::tellCell(const CellOwner &cell) {
+void Membership::announceCell(const CellOwner &cell) {
   {
     std::lock_guard lock(Mutex);
     if (Table.merge(cell) != MemberTable::News::Changed)
--- a/Hemlockglade/Coordination/Membership/Membership.h
+++ b/Hemlockglade/Coordination/Membership/Membership.h
@@ -35,7 +35,7 @@
   /// Tells everybody that this node is gone; the last thing it says.
   void depart();
   /// Tells of a cell's owner, learned from the table or by owning it.
-  void tellCell(const CellOwner &cell);
+  void announceCell(const CellOwner &cell);
   /// Forgets cells that `keep` refuses, when the configuration drops them.
   void keepCells(const std::function<bool(const std::string &)> &keep);
 
--- a/Hemlockglade/Coordination/Orders/CellLease.cpp
+++ b/Hemlockglade/Coordination/Orders/CellLease.cpp
@@ -271,7 +271,7 @@
     Changed(LeaseChange::HolderSeen, *this);
 }
 
-void CellLease::onHeard(std::uint64_t version, Span remaining) {
+void CellLease::onHolderHeartbeat(std::uint64_t version, Span remaining) {
   auto now = Now();
   // A holder that can't renew is alive, but its lease has to be taken over.
   if (remaining > Span(0))
@@ -293,7 +293,7 @@
   FreeAt = std::max(FreeAt, heard ? HeardFreeAt : now + remaining);
 }
 
-void CellLease::onTold(const CellLeaseRow &row) {
+void CellLease::onPeerRow(const CellLeaseRow &row) {
   if (Mine || Busy || isOwn(row) || (Row && Row->Fence >= row.Fence))
     return;
   if (ReadNotes)
--- a/Hemlockglade/Coordination/Orders/CellLease.h
+++ b/Hemlockglade/Coordination/Orders/CellLease.h
@@ -92,10 +92,10 @@
   void tick(Span reluctance, Span leastLook = Span(0));
   /// The holder has told that its lease, at this version of the row, lasts for
   /// `remaining`.
-  void onHeard(std::uint64_t version, Span remaining);
+  void onHolderHeartbeat(std::uint64_t version, Span remaining);
   /// Another node tells who holds the lease; taken while less is known, and
   /// never as a ground to take the lease over.
-  void onTold(const CellLeaseRow &row);
+  void onPeerRow(const CellLeaseRow &row);
   /// Gives the lease up, if it is held.
   void release();
   /// Lets a node that is nearer have the lease; takes part on, but leaves the
--- a/Hemlockglade/Coordination/Orders/CellDesk.cpp
+++ b/Hemlockglade/Coordination/Orders/CellPlacement.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 
 #include <algorithm>
 #include <cmath>
@@ -25,18 +25,18 @@
 
 } // namespace
 
-void CellDesk::setReplicas(const std::vector<ReplicaPtr> &replicas,
-                           const std::shared_ptr<const RoutePlan> &plan,
-                           Instant now) {
+void CellPlacement::setReplicas(const std::vector<ReplicaPtr> &replicas,
+                                const std::shared_ptr<const RoutePlan> &plan,
+                                Instant now) {
   std::map<std::string, Book> kept;
   double rate = 0;
   for (const auto &record : replicas) {
     const auto *service = plan ? plan->service(record->Service) : nullptr;
     if (!service || !service->Engine)
       continue;
-    auto it = Books.find(record->Life.text());
+    auto it = Books.find(record->Incarnation.text());
     bool isNew = it == Books.end();
-    auto &book = kept[record->Life.text()];
+    auto &book = kept[record->Incarnation.text()];
     if (!isNew)
       book = std::move(it->second);
     book.Record = record;
@@ -55,7 +55,7 @@
   Pace.setRate(rate);
 }
 
-Span CellDesk::Book::modelLoadTime(const ModelSpec &model) const {
+Span CellPlacement::Book::modelLoadTime(const ModelSpec &model) const {
   if (Local.InMemory.contains(model.Name))
     return model.LoadTimeFromMemory;
   if (Local.OnDisk.contains(model.Name))
@@ -63,7 +63,7 @@
   return model.LoadTime;
 }
 
-void CellDesk::forget() {
+void CellPlacement::forget() {
   for (auto &[id, book] : Books) {
     book.OrderOpen = false;
     book.ReportOpen = false;
@@ -71,9 +71,9 @@
   }
 }
 
-void CellDesk::adopt(Book &book, const HeldWeights &held,
-                     const HeldWeights &pending, std::uint64_t count,
-                     Instant now) {
+void CellPlacement::adopt(Book &book, const HeldWeights &held,
+                          const HeldWeights &pending, std::uint64_t count,
+                          Instant now) {
   Residency next;
   for (const auto &[weights, version] : held) {
     auto it = book.Held.find(weights);
@@ -94,13 +94,15 @@
   book.Held = std::move(next);
 }
 
-void CellDesk::setVersion(const WeightsRef &weights, std::uint64_t version) {
+void CellPlacement::setVersion(const WeightsRef &weights,
+                               std::uint64_t version) {
   auto &known = Versions[weights];
   known = std::max(known, version);
   CopiesKnown = false;
 }
 
-bool CellDesk::current(const WeightsRef &weights, std::uint64_t version) const {
+bool CellPlacement::current(const WeightsRef &weights,
+                            std::uint64_t version) const {
   auto it = Versions.find(weights);
   // Base models are replaced in place, one after the other; an older version
   // goes on serving until then.
@@ -108,7 +110,7 @@
          version >= it->second;
 }
 
-double CellDesk::rate(const Demand &demand, Instant now) const {
+double CellPlacement::rate(const Demand &demand, Instant now) const {
   auto age = now - demand.At;
   double slow = rateOfWeight(faded(demand.Weight, age, Setup.DemandHalfLife),
                              Setup.DemandHalfLife);
@@ -119,13 +121,14 @@
   return sure ? std::max(slow, rateOfWeight(fast, Setup.FastHalfLife)) : slow;
 }
 
-double CellDesk::rateOf(const DemandKey &key, Instant now) const {
+double CellPlacement::rateOf(const DemandKey &key, Instant now) const {
   auto it = Demands.find(key);
   return it == Demands.end() ? 0 : rate(it->second, now);
 }
 
-void CellDesk::onDemand(const std::string &service, const WeightsRef &weights,
-                        double requests, Instant now) {
+void CellPlacement::onDemand(const std::string &service,
+                             const WeightsRef &weights, double requests,
+                             Instant now) {
   auto &demand = Demands[{service, weights}];
   auto age = now - demand.At;
   demand.Weight = faded(demand.Weight, age, Setup.DemandHalfLife) + requests;
@@ -136,8 +139,8 @@
   demand.LastAsked = now;
 }
 
-void CellDesk::onWant(const std::string &service, const WeightsRef &weights,
-                      Instant now) {
+void CellPlacement::onWaiting(const std::string &service,
+                              const WeightsRef &weights, Instant now) {
   auto &demand = Demands[{service, weights}];
   if (!demand.WantedAt)
     demand.WantedAt = now;
@@ -146,26 +149,27 @@
   demand.LastAsked = now;
 }
 
-void CellDesk::onPressed(const std::string &service, const WeightsRef &weights,
-                         Instant now) {
+void CellPlacement::onCongested(const std::string &service,
+                                const WeightsRef &weights, Instant now) {
   Demands[{service, weights}].PressedAt = now;
 }
 
-void CellDesk::onUse(const std::string &replica, const WeightsRef &weights,
-                     std::int32_t change) {
+void CellPlacement::onUse(const std::string &replica, const WeightsRef &weights,
+                          std::int32_t change) {
   auto [it, isNew] = Uses.try_emplace({replica, weights}, 0);
   it->second += change;
   if (it->second <= 0)
     Uses.erase(it);
 }
 
-void CellDesk::setRunning(const std::string &replica, std::uint32_t running) {
+void CellPlacement::setRunning(const std::string &replica,
+                               std::uint32_t running) {
   auto it = Books.find(replica);
   if (it != Books.end())
     it->second.Running = running;
 }
 
-void CellDesk::noteLate(const ResidentWeights &held, Instant now) {
+void CellPlacement::noteLate(const ResidentWeights &held, Instant now) {
   // Only a load that was due just now tells of the weight store's speed; what
   // was due long ago has been dropped or lost.
   constexpr auto JustDue = std::chrono::milliseconds(150);
@@ -173,8 +177,8 @@
     Pace.onLate(now);
 }
 
-void CellDesk::onRefusedEarly(const std::string &replica,
-                              const WeightsRef &weights, Instant now) {
+void CellPlacement::onRefusedEarly(const std::string &replica,
+                                   const WeightsRef &weights, Instant now) {
   constexpr auto Again = std::chrono::milliseconds(60);
   auto it = Books.find(replica);
   if (it == Books.end())
@@ -187,8 +191,8 @@
   changed();
 }
 
-void CellDesk::onMissing(const std::string &replica, const WeightsRef &weights,
-                         Instant now) {
+void CellPlacement::onMissing(const std::string &replica,
+                              const WeightsRef &weights, Instant now) {
   auto it = Books.find(replica);
   if (it == Books.end())
     return;
@@ -199,54 +203,54 @@
   it->second.ReportDue = now;
 }
 
-const Residency &CellDesk::residency(const std::string &replica) const {
+const Residency &CellPlacement::residency(const std::string &replica) const {
   static const Residency None;
   auto it = Books.find(replica);
   return it == Books.end() ? None : it->second.Held;
 }
 
-std::vector<std::string> CellDesk::replicas() const {
+std::vector<std::string> CellPlacement::replicas() const {
   std::vector<std::string> out;
   for (const auto &[id, book] : Books)
     out.push_back(id);
   return out;
 }
 
-std::size_t CellDesk::adapters(const Book &book) const {
+std::size_t CellPlacement::adapters(const Book &book) const {
   std::size_t n = 0;
   for (const auto &[weights, held] : book.Held)
     n += weights.Adapter.empty() ? 0 : 1;
   return n;
 }
 
-std::size_t CellDesk::loading(const Book &book, Instant now) const {
+std::size_t CellPlacement::loading(const Book &book, Instant now) const {
   std::size_t n = book.Making && !book.Held.contains(*book.Making) ? 1 : 0;
   for (const auto &[weights, held] : book.Held)
     n += !weights.Adapter.empty() && held.ReadyAt > now ? 1 : 0;
   return n;
 }
 
-std::size_t CellDesk::loading(Instant now) const {
+std::size_t CellPlacement::loading(Instant now) const {
   std::size_t n = 0;
   for (const auto &[id, book] : Books)
     n += loading(book, now);
   return n;
 }
 
-bool CellDesk::mayLoad(Instant now) {
-  if (loading(now) + LoadingElsewhere < Pace.most())
+bool CellPlacement::mayLoad(Instant now) {
+  if (loading(now) + LoadingElsewhere < Pace.limit())
     return true;
-  Pace.onTurnAwaited(now);
+  Pace.onLoadDelayed(now);
   return false;
 }
 
-bool CellDesk::orderable(const Book &book, Instant now) const {
+bool CellPlacement::orderable(const Book &book, Instant now) const {
   return !book.Replaced && !book.OrderOpen && !book.ReportOpen &&
          !book.ReportDue && book.ModelBusyUntil <= now &&
          book.RestsUntil <= now;
 }
 
-void CellDesk::countCopies() {
+void CellPlacement::countCopies() {
   CopiesKnown = true;
   Copies.clear();
   for (const auto &[id, book] : Books) {
@@ -260,44 +264,44 @@
   }
 }
 
-std::size_t CellDesk::copies(const DemandKey &key) {
+std::size_t CellPlacement::copies(const DemandKey &key) {
   if (!CopiesKnown)
     countCopies();
   auto it = Copies.find(key);
   return it == Copies.end() ? 0 : it->second;
 }
 
-Span CellDesk::loadTime(const Book &book, const WeightsRef &weights,
-                        Instant now) const {
+Span CellPlacement::loadTime(const Book &book, const WeightsRef &weights,
+                             Instant now) const {
   bool quick = std::find(book.Quick.begin(), book.Quick.end(), weights) !=
                book.Quick.end();
   // Loads beyond those at full speed share it.
   double share =
       std::max(1.0, static_cast<double>(loading(now) + LoadingElsewhere + 1) /
-                        static_cast<double>(Pace.most()));
+                        static_cast<double>(Pace.limit()));
   double us = static_cast<double>(Setup.AdapterLoad.count());
   us *= quick ? Setup.QuickShare : share;
   constexpr double SlackUs = 12'000;
   return Span(static_cast<std::int64_t>(us + SlackUs));
 }
 
-void CellDesk::remember(Book &book, const WeightsRef &weights) {
+void CellPlacement::remember(Book &book, const WeightsRef &weights) {
   book.Quick.remove(weights);
   book.Quick.push_front(weights);
   if (book.Quick.size() > Setup.QuickMemory)
     book.Quick.pop_back();
 }
 
-void CellDesk::rest(Book &book, Instant now) {
+void CellPlacement::rest(Book &book, Instant now) {
   constexpr std::uint32_t MostDoublings = 10;
   auto doublings = std::min(book.Unanswered++, MostDoublings);
   book.RestsUntil =
       now + std::min(Setup.LongestRest, Setup.FirstRest * (1 << doublings));
 }
 
-void CellDesk::onOrderAnswer(const std::string &replica,
-                             const EngineOrder &order, OrderAnswer answer,
-                             Instant now) {
+void CellPlacement::onOrderAnswer(const std::string &replica,
+                                  const EngineOrder &order, OrderAnswer answer,
+                                  Instant now) {
   auto it = Books.find(replica);
   if (it == Books.end())
     return;
@@ -362,9 +366,9 @@
   }
 }
 
-bool CellDesk::reportsThisStart(Book &book, const HoldingsReport &report,
-                                Instant now) const {
-  auto ours = book.Record->Life.startedAtMs();
+bool CellPlacement::reportsThisStart(Book &book, const HoldingsReport &report,
+                                     Instant now) const {
+  auto ours = book.Record->Incarnation.startedAtMs();
   auto its = report.StartedAtMs;
   if (!ours || !its || ours == its)
     return true;
@@ -377,9 +381,9 @@
   return false;
 }
 
-void CellDesk::onReport(const std::string &replica,
-                        const std::optional<HoldingsReport> &report,
-                        Instant now) {
+void CellPlacement::onReport(const std::string &replica,
+                             const std::optional<HoldingsReport> &report,
+                             Instant now) {
   auto it = Books.find(replica);
   if (it == Books.end())
     return;
--- a/Hemlockglade/Coordination/Orders/CellDesk.h
+++ b/Hemlockglade/Coordination/Orders/CellPlacement.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Hemlockglade/Coordination/Orders/EngineOrder.h"
-#include "Hemlockglade/Coordination/Orders/LoadPace.h"
+#include "Hemlockglade/Coordination/Orders/LoadConcurrency.h"
 #include "Hemlockglade/State/Routing/RoutePlan.h"
 
 #include <list>
@@ -26,10 +26,10 @@
 using Residency = std::map<WeightsRef, ResidentWeights>;
 
 /// What the desk wants done now.
-struct DeskAction {
+struct PlacementAction {
   enum class Kind : std::uint8_t { Order, Report };
 
-  Kind What = Kind::Order;
+  Kind Type = Kind::Order;
   std::string Replica;
   EngineOrder Order;
   /// Why, for the log.
@@ -39,7 +39,7 @@
 /// Decides which weights the replicas of one cell hold: loads what requests
 /// wait for, copies what is wanted much, drops what is wanted least. It has no
 /// clock and no sockets: time comes with the calls, orders go out as actions.
-class CellDesk {
+class CellPlacement {
 public:
   struct Settings {
     /// Time that an adapter takes to load when it comes from the weight store.
@@ -47,7 +47,7 @@
     /// first guess.
     Span AdapterLoad = std::chrono::milliseconds(260);
     /// Loads of adapters on their way over the whole deployment.
-    LoadPace::Settings Pace;
+    LoadConcurrency::Settings Concurrency;
     /// Loads on their way to one replica.
     std::uint32_t LoadsPerReplica = 4;
     /// Adapters that a replica dropped lately come back this much faster.
@@ -92,11 +92,11 @@
     /// many requests a second.
     double WaitWeight = 0.2;
     /// Cells of the deployment, which share the rate of base model loads.
-    std::uint32_t Cells = 1;
+    std::uint32_t CellCount = 1;
     /// Place of this cell among them, from 0. When the weight store becomes
     /// free cells load base models from it in this order, so that each hears of
     /// the loads of those before it.
-    std::uint32_t Turn = 0;
+    std::uint32_t CellIndex = 0;
     /// Time within which owners hear of loads in other cells.
     Span HeardWithin = std::chrono::milliseconds(400);
     /// Time for which a new owner loads no base model from the store. Loads are
@@ -118,7 +118,8 @@
     double ModelLoadsPerRate = 0.25;
   };
 
-  explicit CellDesk(Settings settings) : Setup(settings), Pace(Setup.Pace) {}
+  explicit CellPlacement(Settings settings)
+      : Setup(settings), Pace(Setup.Concurrency) {}
 
   /// Sets the replicas of the cell that run engines, and what their services
   /// say of them.
@@ -130,12 +131,12 @@
   void onDemand(const std::string &service, const WeightsRef &weights,
                 double requests, Instant now);
   /// Requests wait at a node for weights that no replica of the cell has.
-  void onWant(const std::string &service, const WeightsRef &weights,
-              Instant now);
+  void onWaiting(const std::string &service, const WeightsRef &weights,
+                 Instant now);
   /// Requests wait at a node because the replicas that have the weights are at
   /// their limit.
-  void onPressed(const std::string &service, const WeightsRef &weights,
-                 Instant now);
+  void onCongested(const std::string &service, const WeightsRef &weights,
+                   Instant now);
   /// How many requests run at a replica, over all nodes.
   void setRunning(const std::string &replica, std::uint32_t running);
   /// Requests that use weights at a replica began or ended, at any node. What
@@ -154,7 +155,7 @@
                  Instant now);
 
   /// What to do now. Nothing is ordered unless `mayOrder`.
-  std::vector<DeskAction> plan(bool mayOrder, Instant now);
+  std::vector<PlacementAction> plan(bool mayOrder, Instant now);
   void onOrderAnswer(const std::string &replica, const EngineOrder &order,
                      OrderAnswer answer, Instant now);
   void onReport(const std::string &replica,
@@ -242,16 +243,16 @@
   static bool holdsAllModels(const Book &book);
   const ModelSpec *missingModel(const Book &book, Instant now);
   std::size_t modelsFromStore(Instant now) const;
-  void planModels(std::vector<DeskAction> &actions, Instant now);
+  void planModels(std::vector<PlacementAction> &actions, Instant now);
   bool mayLoadFromStore(double rate, Instant now);
-  void planAdapters(std::vector<DeskAction> &actions, Instant now);
+  void planAdapters(std::vector<PlacementAction> &actions, Instant now);
   bool place(const DemandKey &key, double worth, std::string_view reason,
-             std::vector<DeskAction> &actions, Instant now);
+             std::vector<PlacementAction> &actions, Instant now);
   const WeightsRef *victim(const Book &book, double below, Instant now);
-  void planWanted(std::vector<DeskAction> &actions, Instant now);
-  void planScarce(std::vector<DeskAction> &actions, Instant now);
+  void planWanted(std::vector<PlacementAction> &actions, Instant now);
+  void planScarce(std::vector<PlacementAction> &actions, Instant now);
   void order(Book &book, OrderKind kind, const WeightsRef &weights,
-             std::string_view reason, std::vector<DeskAction> &actions);
+             std::string_view reason, std::vector<PlacementAction> &actions);
   Span loadTime(const Book &book, const WeightsRef &weights, Instant now) const;
   void remember(Book &book, const WeightsRef &weights);
   void rest(Book &book, Instant now);
@@ -279,7 +280,7 @@
   bool MayOrder = false;
   std::size_t LoadingElsewhere = 0;
   /// Adapter loads that may be on their way over all cells.
-  LoadPace Pace;
+  LoadConcurrency Pace;
   std::size_t ModelsElsewhere = 0;
   std::uint64_t Revision = 1;
 };
--- a/Hemlockglade/Coordination/Orders/CellDeskPlan.cpp
+++ b/Hemlockglade/Coordination/Orders/CellPlacementPlan.cpp
@@ -1,6 +1,6 @@
 // What a desk orders, and why.
 
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,8 +23,8 @@
 
 } // namespace
 
-std::vector<DeskAction> CellDesk::plan(bool mayOrder, Instant now) {
-  std::vector<DeskAction> actions;
+std::vector<PlacementAction> CellPlacement::plan(bool mayOrder, Instant now) {
+  std::vector<PlacementAction> actions;
   // The owner before may have ordered just before its end.
   if (mayOrder && !MayOrder)
     NextModelLoad = std::max(NextModelLoad, now + Setup.ModelPauseOfNewOwner);
@@ -37,28 +37,29 @@
     if (book.ReportOpen || book.OrderOpen || !due)
       continue;
     book.ReportOpen = true;
-    actions.push_back({DeskAction::Kind::Report, id, {}, "books in doubt"});
+    actions.push_back(
+        {PlacementAction::Kind::Report, id, {}, "books in doubt"});
   }
   planModels(actions, now);
   planAdapters(actions, now);
   return actions;
 }
 
-bool CellDesk::holdsAllModels(const Book &book) {
+bool CellPlacement::holdsAllModels(const Book &book) {
   const auto &models = book.Engine->Models;
   return std::all_of(models.begin(), models.end(), [&](const auto &it) {
     return book.Held.contains({it.Name, {}});
   });
 }
 
-std::size_t CellDesk::modelsFromStore(Instant now) const {
+std::size_t CellPlacement::modelsFromStore(Instant now) const {
   auto n = std::count_if(Books.begin(), Books.end(), [now](const auto &it) {
     return it.second.FromStore && it.second.ModelBusyUntil > now;
   });
   return static_cast<std::size_t>(n) + ModelsElsewhere;
 }
 
-const ModelSpec *CellDesk::missingModel(const Book &book, Instant now) {
+const ModelSpec *CellPlacement::missingModel(const Book &book, Instant now) {
   double used = 0;
   for (const auto &[weights, held] : book.Held)
     if (const auto *model = book.Engine->model(weights.Model))
@@ -81,7 +82,8 @@
   return best;
 }
 
-void CellDesk::planModels(std::vector<DeskAction> &actions, Instant now) {
+void CellPlacement::planModels(std::vector<PlacementAction> &actions,
+                               Instant now) {
   std::vector<std::pair<Book *, const ModelSpec *>> needy;
   for (auto &[id, book] : Books) {
     if (holdsAllModels(book) || !orderable(book, now))
@@ -104,11 +106,11 @@
     return;
   auto &[book, model] = needy.front();
   order(*book, OrderKind::Load, {model->Name, {}}, "model missing", actions);
-  NextModelLoad = now + spanOf(Setup.Cells / rate);
+  NextModelLoad = now + spanOf(Setup.CellCount / rate);
   StoreFreeSince.reset();
 }
 
-bool CellDesk::mayLoadFromStore(double rate, Instant now) {
+bool CellPlacement::mayLoadFromStore(double rate, Instant now) {
   auto most = std::max(1.0, std::floor(Setup.ModelLoadsPerRate * rate));
   auto fromStore = static_cast<double>(modelsFromStore(now));
   if (now < NextModelLoad || fromStore >= most) {
@@ -117,11 +119,12 @@
   }
   if (!StoreFreeSince)
     StoreFreeSince = now;
-  auto turn = std::min(Setup.HeardWithin, spanOf(1 / rate)) * Setup.Turn;
+  auto turn = std::min(Setup.HeardWithin, spanOf(1 / rate)) * Setup.CellIndex;
   return now >= *StoreFreeSince + turn;
 }
 
-void CellDesk::planAdapters(std::vector<DeskAction> &actions, Instant now) {
+void CellPlacement::planAdapters(std::vector<PlacementAction> &actions,
+                                 Instant now) {
   for (auto &[id, book] : Books) {
     if (!book.Making || !orderable(book, now))
       continue;
@@ -140,7 +143,8 @@
   planScarce(actions, now);
 }
 
-void CellDesk::planWanted(std::vector<DeskAction> &actions, Instant now) {
+void CellPlacement::planWanted(std::vector<PlacementAction> &actions,
+                               Instant now) {
   // Loads are few a second: the most wanted first, others as they grow old.
   std::vector<std::pair<double, DemandKey>> waiting;
   for (auto it = Wanted.begin(); it != Wanted.end();) {
@@ -165,7 +169,8 @@
   }
 }
 
-void CellDesk::planScarce(std::vector<DeskAction> &actions, Instant now) {
+void CellPlacement::planScarce(std::vector<PlacementAction> &actions,
+                               Instant now) {
   std::vector<std::pair<double, DemandKey>> scarce;
   for (const auto &[key, demand] : Demands) {
     if (key.second.Adapter.empty() || demand.WantedAt)
@@ -192,9 +197,9 @@
   }
 }
 
-bool CellDesk::place(const DemandKey &key, double worth,
-                     std::string_view reason, std::vector<DeskAction> &actions,
-                     Instant now) {
+bool CellPlacement::place(const DemandKey &key, double worth,
+                          std::string_view reason,
+                          std::vector<PlacementAction> &actions, Instant now) {
   Book *best = nullptr;
   const WeightsRef *drop = nullptr;
   double lowest = 0;
@@ -246,8 +251,8 @@
   return true;
 }
 
-const WeightsRef *CellDesk::victim(const Book &book, double below,
-                                   Instant now) {
+const WeightsRef *CellPlacement::victim(const Book &book, double below,
+                                        Instant now) {
   const WeightsRef *best = nullptr;
   double least = below;
   for (const auto &[weights, held] : book.Held) {
@@ -259,7 +264,7 @@
     bool recent = it != Demands.end() &&
                   now - it->second.LastAsked < Setup.RecentUse &&
                   copies(key) < 2 && current(weights, held.Version);
-    bool used = Uses.contains({book.Record->Life.text(), weights});
+    bool used = Uses.contains({book.Record->Incarnation.text(), weights});
     if (wanted || recent || used)
       continue;
     double worth = worthOf(book, weights, held, now);
@@ -271,8 +276,8 @@
   return best;
 }
 
-double CellDesk::worthOf(const Book &book, const WeightsRef &weights,
-                         const ResidentWeights &held, Instant now) {
+double CellPlacement::worthOf(const Book &book, const WeightsRef &weights,
+                              const ResidentWeights &held, Instant now) {
   DemandKey key{book.Record->Service, weights};
   if (!current(weights, held.Version))
     return 0;
@@ -284,11 +289,11 @@
   return rate(it->second, now) / static_cast<double>(n);
 }
 
-void CellDesk::order(Book &book, OrderKind kind, const WeightsRef &weights,
-                     std::string_view reason,
-                     std::vector<DeskAction> &actions) {
-  DeskAction action;
-  action.Replica = book.Record->Life.text();
+void CellPlacement::order(Book &book, OrderKind kind, const WeightsRef &weights,
+                          std::string_view reason,
+                          std::vector<PlacementAction> &actions) {
+  PlacementAction action;
+  action.Replica = book.Record->Incarnation.text();
   action.Order.Kind = kind;
   action.Order.Weights = weights;
   action.Order.ExpectedCount = book.Count;
--- a/Hemlockglade/Coordination/Orders/HoldingsLog.cpp
+++ b/Hemlockglade/Coordination/Orders/HoldingsLog.cpp
@@ -8,7 +8,7 @@
   Open = true;
 }
 
-bool HoldingsLog::note(const std::string &replica, const Residency &held) {
+bool HoldingsLog::update(const std::string &replica, const Residency &held) {
   auto [at, isNew] = Replicas.try_emplace(replica);
   auto &entry = at->second;
   if (!isNew && entry.Held == held)
@@ -34,13 +34,14 @@
   return true;
 }
 
-void HoldingsLog::touch(const std::string &replica, const WeightsRef &weights) {
+void HoldingsLog::markChanged(const std::string &replica,
+                              const WeightsRef &weights) {
   auto it = Replicas.find(replica);
   if (it != Replicas.end() && it->second.Held.contains(weights))
     mark(it->second, weights);
 }
 
-void HoldingsLog::close() {
+void HoldingsLog::commit() {
   if (std::exchange(Open, false))
     ++Number;
 }
@@ -64,11 +65,11 @@
       continue;
     HoldingsChange change;
     change.Replica = replica;
-    change.Whole = number < entry.WholeBefore;
-    if (change.Whole)
+    change.Complete = number < entry.WholeBefore;
+    if (change.Complete)
       change.Held = entry.Held;
     for (const auto &[weights, at] : entry.ChangedAt) {
-      if (change.Whole || at <= number)
+      if (change.Complete || at <= number)
         continue;
       auto held = entry.Held.find(weights);
       if (held == entry.Held.end())
--- a/Hemlockglade/Coordination/Orders/HoldingsLog.h
+++ b/Hemlockglade/Coordination/Orders/HoldingsLog.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 
 namespace hemlockglade {
 
@@ -8,7 +8,7 @@
 struct HoldingsChange {
   std::string Replica;
   /// All that it holds, rather than what changed.
-  bool Whole = false;
+  bool Complete = false;
   Residency Held;
   /// Weights that it held before and no longer does.
   std::vector<WeightsRef> Dropped;
@@ -29,17 +29,17 @@
   explicit HoldingsLog(Settings settings) : Setup(settings) {}
 
   /// Takes what a replica holds now; says whether that is news.
-  bool note(const std::string &replica, const Residency &held);
+  bool update(const std::string &replica, const Residency &held);
   /// Has an entry told again: a node's view of it may be wrong.
-  void touch(const std::string &replica, const WeightsRef &weights);
+  void markChanged(const std::string &replica, const WeightsRef &weights);
   /// Ends a round of notes: its changes get the next number.
-  void close();
+  void commit();
   /// Forgets replicas that are not among these.
   void keepOnly(const std::set<std::string> &replicas);
   void clear();
 
   /// Number of the last closed round.
-  std::uint64_t number() const { return Number; }
+  std::uint64_t revision() const { return Number; }
   /// What has changed after a number; everything after 0.
   std::vector<HoldingsChange> since(std::uint64_t number) const;
 
--- a/Hemlockglade/Coordination/Orders/LoadPace.cpp
+++ b/Hemlockglade/Coordination/Orders/LoadConcurrency.cpp
@@ -1,27 +1,27 @@
-#include "Hemlockglade/Coordination/Orders/LoadPace.h"
+#include "Hemlockglade/Coordination/Orders/LoadConcurrency.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace hemlockglade {
 
-double LoadPace::first() const {
+double LoadConcurrency::first() const {
   return std::max(Setup.Least, Setup.FirstPerRate * Rate);
 }
 
-void LoadPace::bound() {
+void LoadConcurrency::bound() {
   Number = std::clamp(Number, Setup.LowestShare * first(),
                       std::max(Setup.HighestShare, 1.0) * first());
 }
 
-void LoadPace::setRate(double rate) {
+void LoadConcurrency::setRate(double rate) {
   if (rate == Rate && Number > 0)
     return;
   Rate = rate;
   Number = first();
 }
 
-void LoadPace::onTurnAwaited(Instant now) {
+void LoadConcurrency::onLoadDelayed(Instant now) {
   // What lies between two calls counts only if it is short: nobody waited in a
   // longer pause.
   constexpr Span Longest = std::chrono::milliseconds(300);
@@ -36,7 +36,7 @@
   bound();
 }
 
-void LoadPace::onLate(Instant now) {
+void LoadConcurrency::onLate(Instant now) {
   if (Setup.RisePerSecond <= 0 || now - FellAt < Setup.FallPause)
     return;
   FellAt = now;
--- a/Hemlockglade/Coordination/Orders/LoadPace.h
+++ b/Hemlockglade/Coordination/Orders/LoadConcurrency.h
@@ -11,7 +11,7 @@
 /// proportion, and below, requests wait for loads that could have begun. The
 /// number is not declared anywhere, so it is learnt: it rises while loads wait
 /// for their turn and come in time, and falls when one comes late.
-class LoadPace {
+class LoadConcurrency {
 public:
   struct Settings {
     /// First number for each base model load a second that the store is
@@ -34,17 +34,17 @@
     Span ProbePause = std::chrono::seconds(10);
   };
 
-  explicit LoadPace(Settings settings) : Setup(settings) {}
+  explicit LoadConcurrency(Settings settings) : Setup(settings) {}
 
   /// The store is declared to allow this many base model loads a second.
   void setRate(double rate);
   /// Loads wait for their turn at this moment.
-  void onTurnAwaited(Instant now);
+  void onLoadDelayed(Instant now);
   /// An adapter from the store was not there when it should have been.
   void onLate(Instant now);
 
   /// Loads that may be on their way.
-  std::size_t most() const { return static_cast<std::size_t>(Number); }
+  std::size_t limit() const { return static_cast<std::size_t>(Number); }
 
 private:
   double first() const;
--- a/Hemlockglade/Coordination/Quota/QuotaAccount.cpp
+++ b/Hemlockglade/Coordination/Quota/QuotaClient.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Quota/QuotaAccount.h"
+#include "Hemlockglade/Coordination/Quota/QuotaClient.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,14 +17,14 @@
 
 } // namespace
 
-void QuotaAccount::setCells(std::vector<std::string> cells,
-                            const std::string &own) {
+void QuotaClient::setCells(std::vector<std::string> cells,
+                           const std::string &own) {
   Cells = std::move(cells);
   Own = own;
 }
 
-void QuotaAccount::openPurses(const std::string &name, Book &book) const {
-  auto keepers = keepersOf(name, book.Limit, Cells, Quota);
+void QuotaClient::openPurses(const std::string &name, Book &book) const {
+  auto keepers = quotaServersOf(name, book.Limit, Cells, Quota);
   if (keepers.empty())
     return;
   // The own cell's owner is near; behind it entries of different cells begin
@@ -45,8 +45,8 @@
   book.Purses = std::move(purses);
 }
 
-QuotaAccount::Book &QuotaAccount::bookOf(const Workspace &workspace,
-                                         Instant now) {
+QuotaClient::Book &QuotaClient::bookOf(const Workspace &workspace,
+                                       Instant now) {
   auto [it, isNew] = Books.try_emplace(workspace.Name);
   auto &book = it->second;
   book.Name = workspace.Name;
@@ -66,12 +66,12 @@
   return book;
 }
 
-double QuotaAccount::demandOf(const Book &book, Instant now) const {
+double QuotaClient::demandOf(const Book &book, Instant now) const {
   return book.Demand * std::exp(-inSeconds(now - book.DemandAt) /
                                 inSeconds(Setup.DemandOver));
 }
 
-void QuotaAccount::noteDemand(Book &book, double units, Instant now) const {
+void QuotaClient::noteDemand(Book &book, double units, Instant now) const {
   book.Demand = demandOf(book, now) + units / inSeconds(Setup.DemandOver);
   book.DemandAt = now;
   constexpr double Weight = 0.1;
@@ -79,19 +79,19 @@
       (book.UsualUnits > 0 ? Weight : 1) * (units - book.UsualUnits);
 }
 
-void QuotaAccount::markDue(Book &book) {
+void QuotaClient::markDue(Book &book) {
   if (!std::exchange(book.Due, true))
     DueBooks.push_back(&book);
 }
 
-double QuotaAccount::Purse::granted() const {
+double QuotaClient::Purse::granted() const {
   double out = 0;
   for (const auto &it : Grants)
     out += it.Units;
   return out;
 }
 
-void QuotaAccount::lapse(Purse &purse, Instant now) {
+void QuotaClient::lapse(Purse &purse, Instant now) {
   std::erase_if(purse.Grants, [&purse, now](const auto &it) {
     bool over = now >= it.Until;
     purse.Unused += over ? it.Units : 0;
@@ -99,7 +99,7 @@
   });
 }
 
-bool QuotaAccount::useGranted(Book &book, double units, Instant now) {
+bool QuotaClient::useGranted(Book &book, double units, Instant now) {
   for (auto &purse : book.Purses) {
     lapse(purse, now);
     if (purse.granted() < units)
@@ -115,19 +115,19 @@
   return false;
 }
 
-std::optional<QuotaAccount::Decision>
-QuotaAccount::book(Ticket number, const Workspace &workspace, double units,
-                   Instant now) {
+std::optional<QuotaClient::Decision>
+QuotaClient::reserve(Ticket number, const Workspace &workspace, double units,
+                     Instant now) {
   auto &book = bookOf(workspace, now);
   noteDemand(book, units, now);
   if (!useGranted(book, units, now))
     return place(book, 0, {number, units}, now);
   markDue(book);
-  return Decision{number, Verdict::Go, Span(0)};
+  return Decision{number, Verdict::Allowed, Span(0)};
 }
 
-std::optional<QuotaAccount::Decision>
-QuotaAccount::place(Book &book, std::size_t first, Waiting it, Instant now) {
+std::optional<QuotaClient::Decision>
+QuotaClient::place(Book &book, std::size_t first, Waiting it, Instant now) {
   for (auto at = first; at < book.Purses.size(); ++at) {
     auto &purse = book.Purses[at];
     if (now < purse.EmptyUntil || now < purse.SilentUntil)
@@ -139,14 +139,14 @@
   return refuse(book, it, now);
 }
 
-QuotaAccount::Decision QuotaAccount::refuse(Book &book, const Waiting &it,
-                                            Instant now) const {
+QuotaClient::Decision QuotaClient::refuse(Book &book, const Waiting &it,
+                                          Instant now) const {
   auto emptyUntil = Instant::max();
   for (const auto &purse : book.Purses)
     if (now < purse.EmptyUntil)
       emptyUntil = std::min(emptyUntil, purse.EmptyUntil);
   if (emptyUntil == Instant::max())
-    return {it.Number, Verdict::NoKeeper, Setup.Silence};
+    return {it.Number, Verdict::NoServer, Setup.Silence};
   // Those who are refused together are told to come back one after the other,
   // as this entry's part of the limit lets them pass.
   auto perSecond = book.Limit.PerSecond / static_cast<double>(Entries);
@@ -157,15 +157,15 @@
   return {it.Number, Verdict::Limited, book.PromisedUntil - now};
 }
 
-void QuotaAccount::charge(const Workspace &workspace, double units,
-                          Instant now) {
+void QuotaClient::charge(const Workspace &workspace, double units,
+                         Instant now) {
   auto &book = bookOf(workspace, now);
   if (!useGranted(book, units, now) && !book.Purses.empty())
     book.Purses.front().Spent += units;
 }
 
-void QuotaAccount::giveBack(const Workspace &workspace, double units,
-                            Instant now) {
+void QuotaClient::release(const Workspace &workspace, double units,
+                          Instant now) {
   auto &book = bookOf(workspace, now);
   if (book.Purses.empty())
     return;
@@ -176,8 +176,8 @@
   purse.Unused += units - settled;
 }
 
-double QuotaAccount::aheadOf(const Book &book, const Purse &purse,
-                             Instant now) const {
+double QuotaClient::aheadOf(const Book &book, const Purse &purse,
+                            Instant now) const {
   bool nearest = &purse == &book.Purses.front();
   if (!nearest || now < purse.EmptyUntil || now < purse.AheadAfter)
     return 0;
@@ -189,8 +189,8 @@
   return granted < RefillShare * wanted ? wanted - granted : 0;
 }
 
-void QuotaAccount::addAsks(Book &book, std::map<std::string, Message> &messages,
-                           Instant now) {
+void QuotaClient::addAsks(Book &book, std::map<std::string, Message> &messages,
+                          Instant now) {
   for (auto &purse : book.Purses) {
     if (purse.Asking || now < purse.SilentUntil)
       continue;
@@ -203,25 +203,25 @@
     message.Cell = purse.Cell;
     if (!message.Number)
       message.Number = ++LastAsk;
-    QuotaAsk ask{book.Name,
-                 {},
-                 ahead,
-                 std::exchange(purse.Unused, 0),
-                 std::exchange(purse.Spent, 0)};
+    QuotaRequest ask{book.Name,
+                     {},
+                     ahead,
+                     std::exchange(purse.Unused, 0),
+                     std::exchange(purse.Spent, 0)};
     purse.Asked.clear();
     for (const auto &it : std::exchange(purse.Waits, {})) {
-      ask.Needs.push_back(it.Units);
+      ask.Requested.push_back(it.Units);
       purse.Asked.push_back(it);
     }
     purse.Asking = true;
     purse.AskedAt = now;
     purse.AskNumber = message.Number;
     purse.AskedAhead = ahead > 0;
-    message.Asks.push_back(std::move(ask));
+    message.Requests.push_back(std::move(ask));
   }
 }
 
-std::vector<QuotaAccount::Message> QuotaAccount::takeAsks(Instant now) {
+std::vector<QuotaClient::Message> QuotaClient::takeRequests(Instant now) {
   std::map<std::string, Message> messages;
   for (auto *book : std::exchange(DueBooks, {})) {
     book->Due = false;
@@ -234,16 +234,16 @@
   return out;
 }
 
-void QuotaAccount::takeGrant(Book &book, std::size_t index,
-                             const QuotaGrant &grant, Instant now,
-                             std::vector<Decision> &out) {
+void QuotaClient::takeGrant(Book &book, std::size_t index,
+                            const QuotaGrant &grant, Instant now,
+                            std::vector<Decision> &out) {
   auto &purse = book.Purses[index];
   purse.Asking = false;
   // One that answers is not silent, however late.
   purse.SilentUntil = Instant{};
   auto asked = std::exchange(purse.Asked, {});
   bool late = now > purse.AskedAt + Setup.GrantLife;
-  if (!grant.Kept)
+  if (!grant.Managed)
     purse.SilentUntil = now + Setup.Silence;
   else if (grant.EmptyFor > Span(0))
     purse.EmptyUntil = now + grant.EmptyFor;
@@ -257,13 +257,13 @@
   }
   for (std::size_t it = 0; it < asked.size(); ++it) {
     const auto &request = asked[it];
-    bool passed = it < grant.Passed;
+    bool passed = it < grant.GrantedCount;
     if (request.Over) {
       purse.Unused += passed ? request.Units : 0;
       continue;
     }
     if (passed) {
-      out.push_back({request.Number, Verdict::Go, Span(0)});
+      out.push_back({request.Number, Verdict::Allowed, Span(0)});
       continue;
     }
     if (auto decision = place(book, index + 1, request, now))
@@ -271,9 +271,9 @@
   }
 }
 
-std::vector<QuotaAccount::Decision>
-QuotaAccount::onGrants(const std::string &cell, std::uint64_t number,
-                       std::span<const QuotaGrant> grants, Instant now) {
+std::vector<QuotaClient::Decision>
+QuotaClient::onGrants(const std::string &cell, std::uint64_t number,
+                      std::span<const QuotaGrant> grants, Instant now) {
   std::vector<Decision> out;
   for (const auto &grant : grants) {
     auto it = Books.find(grant.Workspace);
@@ -290,8 +290,8 @@
   return out;
 }
 
-void QuotaAccount::moveOn(Book &book, std::size_t purse, Instant now,
-                          std::vector<Decision> &out) {
+void QuotaClient::moveOn(Book &book, std::size_t purse, Instant now,
+                         std::vector<Decision> &out) {
   markDue(book);
   auto &from = book.Purses[purse];
   from.SilentUntil = now + Setup.Silence;
@@ -305,8 +305,8 @@
       out.push_back(*decision);
 }
 
-std::vector<QuotaAccount::Decision>
-QuotaAccount::onKeeperLost(const std::string &cell, Instant now) {
+std::vector<QuotaClient::Decision>
+QuotaClient::onServerLost(const std::string &cell, Instant now) {
   std::vector<Decision> out;
   for (auto &[name, book] : Books)
     for (std::size_t at = 0; at < book.Purses.size(); ++at)
@@ -318,7 +318,7 @@
   return out;
 }
 
-std::vector<QuotaAccount::Decision> QuotaAccount::tick(Instant now) {
+std::vector<QuotaClient::Decision> QuotaClient::tick(Instant now) {
   std::vector<Decision> out;
   for (auto &[name, book] : Books)
     for (std::size_t at = 0; at < book.Purses.size(); ++at) {
--- a/Hemlockglade/Coordination/Quota/QuotaAccount.h
+++ b/Hemlockglade/Coordination/Quota/QuotaClient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Quota/QuotaKeeper.h"
+#include "Hemlockglade/Coordination/Quota/QuotaServer.h"
 
 #include <deque>
 
@@ -12,8 +12,8 @@
 /// A request waits for a keeper only where nothing is left of what was granted
 /// ahead, and is refused at once while all keepers are known to be empty. What
 /// was booked and did not run goes back. No clock, no sockets: what is to be
-/// sent is taken with `takeAsks`.
-class QuotaAccount {
+/// sent is taken with `takeRequests`.
+class QuotaClient {
 public:
   struct Settings {
     /// Time of its present demand that the entry asks for ahead.
@@ -34,15 +34,15 @@
   };
   using Ticket = std::uint64_t;
   enum class Verdict : std::uint8_t {
-    Go,
+    Allowed,
     /// The limit is used up.
     Limited,
     /// No keeper answers: whether the limit is used up is not known.
-    NoKeeper,
+    NoServer,
   };
   struct Decision {
     Ticket Number = 0;
-    Verdict What = Verdict::Go;
+    Verdict Result = Verdict::Allowed;
     /// When to come back, unless it may go.
     Span RetryAfter{0};
   };
@@ -50,10 +50,10 @@
   struct Message {
     std::string Cell;
     std::uint64_t Number = 0;
-    std::vector<QuotaAsk> Asks;
+    std::vector<QuotaRequest> Requests;
   };
 
-  QuotaAccount(Settings settings, QuotaSettings quota)
+  QuotaClient(Settings settings, QuotaSettings quota)
       : Setup(settings), Quota(quota) {}
 
   /// The cells of the deployment, the entry's own among them.
@@ -64,24 +64,24 @@
 
   /// Books a request of so many units. Decided at once, or later by one of the
   /// functions below.
-  std::optional<Decision> book(Ticket number, const Workspace &workspace,
-                               double units, Instant now);
+  std::optional<Decision> reserve(Ticket number, const Workspace &workspace,
+                                  double units, Instant now);
   /// A request that ran before runs once more.
   void charge(const Workspace &workspace, double units, Instant now);
   /// Units that were booked for what did not run.
-  void giveBack(const Workspace &workspace, double units, Instant now);
+  void release(const Workspace &workspace, double units, Instant now);
 
   /// What is to be sent now.
-  std::vector<Message> takeAsks(Instant now);
+  std::vector<Message> takeRequests(Instant now);
   std::vector<Decision> onGrants(const std::string &cell, std::uint64_t number,
                                  std::span<const QuotaGrant> grants,
                                  Instant now);
   /// The owner of a cell can't be reached.
-  std::vector<Decision> onKeeperLost(const std::string &cell, Instant now);
+  std::vector<Decision> onServerLost(const std::string &cell, Instant now);
   /// Does what is due; to be called about every 50 ms.
   std::vector<Decision> tick(Instant now);
 
-  std::size_t books() const { return Books.size(); }
+  std::size_t accounts() const { return Books.size(); }
 
 private:
   struct Waiting {
--- a/Hemlockglade/Coordination/Quota/QuotaKeeper.cpp
+++ b/Hemlockglade/Coordination/Quota/QuotaServer.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Quota/QuotaKeeper.h"
+#include "Hemlockglade/Coordination/Quota/QuotaServer.h"
 
 #include <algorithm>
 #include <set>
@@ -13,17 +13,17 @@
 
 } // namespace
 
-void QuotaKeeper::setLimits(const WorkspaceDirectory &workspaces,
+void QuotaServer::setLimits(const WorkspaceDirectory &workspaces,
                             std::span<const std::string> cells, Instant now) {
   std::set<std::string, std::less<>> kept;
   for (const auto &it : workspaces.all()) {
     if (!it.Limit)
       continue;
-    auto keepers = keepersOf(it.Name, *it.Limit, cells, Setup);
+    auto keepers = quotaServersOf(it.Name, *it.Limit, cells, Setup);
     if (std::find(keepers.begin(), keepers.end(), Cell) == keepers.end())
       continue;
     kept.insert(it.Name);
-    auto bounds = partOf(*it.Limit, keepers.size(), Setup);
+    auto bounds = bucketSettingsFor(*it.Limit, keepers.size(), Setup);
     auto [at, isNew] = Buckets.try_emplace(it.Name, TokenBucket(bounds, now));
     if (!isNew)
       at->second.setBounds(bounds, now);
@@ -32,22 +32,22 @@
                 [&kept](const auto &it) { return !kept.contains(it.first); });
 }
 
-QuotaGrant QuotaKeeper::onAsk(const QuotaAsk &ask, Instant now) {
+QuotaGrant QuotaServer::onRequest(const QuotaRequest &ask, Instant now) {
   QuotaGrant out;
   out.Workspace = ask.Workspace;
   auto it = Buckets.find(ask.Workspace);
   if (it == Buckets.end())
     return out;
-  out.Kept = true;
+  out.Managed = true;
   auto &bucket = it->second;
-  bucket.giveBack(ask.Unused, now);
-  bucket.charge(ask.Spent, now);
-  for (auto need : ask.Needs) {
-    if (!bucket.take(need, now)) {
-      out.EmptyFor = std::max(Span(1), bucket.until(need, now));
+  bucket.release(ask.Unused, now);
+  bucket.charge(ask.Charged, now);
+  for (auto need : ask.Requested) {
+    if (!bucket.tryTake(need, now)) {
+      out.EmptyFor = std::max(Span(1), bucket.timeUntil(need, now));
       return out;
     }
-    ++out.Passed;
+    ++out.GrantedCount;
   }
   auto spare = bucket.level(now) - KeptShare * bucket.settings().Burst;
   if (ask.Ahead > 0 && ask.Ahead <= spare) {
--- a/Hemlockglade/Coordination/Quota/QuotaKeeper.h
+++ b/Hemlockglade/Coordination/Quota/QuotaServer.h
@@ -1,30 +1,30 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Quota/QuotaParts.h"
+#include "Hemlockglade/Coordination/Quota/QuotaShares.h"
 
 #include <map>
 
 namespace hemlockglade {
 
 /// What an entry asks of a keeper for one workspace, in the limit's units.
-struct QuotaAsk {
+struct QuotaRequest {
   std::string Workspace;
   /// One for each request that waits, in order.
-  std::vector<double> Needs;
+  std::vector<double> Requested;
   /// For requests that are expected.
   double Ahead = 0;
   /// Granted before and not used.
   double Unused = 0;
   /// Used without a grant, by requests that ran once more.
-  double Spent = 0;
+  double Charged = 0;
 };
 
 struct QuotaGrant {
   std::string Workspace;
   /// Whether the keeper keeps a part of the workspace's limit.
-  bool Kept = false;
+  bool Managed = false;
   /// So many of the needs are granted, from the first on.
-  std::uint32_t Passed = 0;
+  std::uint32_t GrantedCount = 0;
   double Ahead = 0;
   /// How long until the next need would pass; 0 if all did.
   Span EmptyFor{0};
@@ -37,17 +37,17 @@
 ///
 /// Answers the load of many entries that share small limits: whoever has the
 /// requests gets the units. No clock, no sockets.
-class QuotaKeeper {
+class QuotaServer {
 public:
-  QuotaKeeper(std::string cell, QuotaSettings settings)
+  QuotaServer(std::string cell, QuotaSettings settings)
       : Cell(std::move(cell)), Setup(settings) {}
 
   /// Begins anew, since another node may have granted before.
-  void begin() { Buckets.clear(); }
+  void reset() { Buckets.clear(); }
   /// The limits that are in force, and all cells.
   void setLimits(const WorkspaceDirectory &workspaces,
                  std::span<const std::string> cells, Instant now);
-  QuotaGrant onAsk(const QuotaAsk &ask, Instant now);
+  QuotaGrant onRequest(const QuotaRequest &ask, Instant now);
   /// Workspaces whose limits this cell keeps a part of.
   std::size_t size() const { return Buckets.size(); }
 
--- a/Hemlockglade/Coordination/Quota/QuotaParts.cpp
+++ b/Hemlockglade/Coordination/Quota/QuotaShares.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Quota/QuotaParts.h"
+#include "Hemlockglade/Coordination/Quota/QuotaShares.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,10 +21,10 @@
   return limit.PerSecond * inSeconds(settings.Window) + limit.Burst;
 }
 
-std::vector<std::string> keepersOf(std::string_view workspace,
-                                   const WorkspaceLimit &limit,
-                                   std::span<const std::string> cells,
-                                   const QuotaSettings &settings) {
+std::vector<std::string> quotaServersOf(std::string_view workspace,
+                                        const WorkspaceLimit &limit,
+                                        std::span<const std::string> cells,
+                                        const QuotaSettings &settings) {
   if (cells.empty())
     return {};
   bool tokens = limit.Unit == LimitUnit::Tokens;
@@ -41,8 +41,9 @@
   return out;
 }
 
-TokenBucket::Settings partOf(const WorkspaceLimit &limit, std::size_t keepers,
-                             const QuotaSettings &settings) {
+TokenBucket::Settings bucketSettingsFor(const WorkspaceLimit &limit,
+                                        std::size_t keepers,
+                                        const QuotaSettings &settings) {
   auto n = static_cast<double>(std::max<std::size_t>(1, keepers));
   auto beyond =
       settings.Overshoot * allowanceOf(limit, settings) + settings.Slack;
--- a/Hemlockglade/Coordination/Quota/QuotaParts.h
+++ b/Hemlockglade/Coordination/Quota/QuotaShares.h
@@ -31,13 +31,14 @@
 /// Cells whose owners keep a workspace's limit, each an equal part: the same at
 /// every node, and in the same order. All cells for a large limit, so that the
 /// loss of one owner costs its part only; few or one for a small one.
-std::vector<std::string> keepersOf(std::string_view workspace,
-                                   const WorkspaceLimit &limit,
-                                   std::span<const std::string> cells,
-                                   const QuotaSettings &settings);
+std::vector<std::string> quotaServersOf(std::string_view workspace,
+                                        const WorkspaceLimit &limit,
+                                        std::span<const std::string> cells,
+                                        const QuotaSettings &settings);
 
 /// Bounds of the bucket of one of so many keepers.
-TokenBucket::Settings partOf(const WorkspaceLimit &limit, std::size_t keepers,
-                             const QuotaSettings &settings);
+TokenBucket::Settings bucketSettingsFor(const WorkspaceLimit &limit,
+                                        std::size_t keepers,
+                                        const QuotaSettings &settings);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Quota/TokenBucket.cpp
+++ b/Hemlockglade/Coordination/Quota/TokenBucket.cpp
@@ -25,7 +25,7 @@
   return std::max(0.0, std::min(units, Setup.Burst) - Setup.Debt * grown);
 }
 
-bool TokenBucket::take(double units, Instant now) {
+bool TokenBucket::tryTake(double units, Instant now) {
   fill(now);
   if (Level < levelFor(units, now))
     return false;
@@ -38,7 +38,7 @@
   Level -= units;
 }
 
-void TokenBucket::giveBack(double units, Instant now) {
+void TokenBucket::release(double units, Instant now) {
   fill(now);
   Level = std::min(Setup.Burst, Level + units);
 }
@@ -48,7 +48,7 @@
   return Level;
 }
 
-Span TokenBucket::until(double units, Instant now) {
+Span TokenBucket::timeUntil(double units, Instant now) {
   fill(now);
   auto missing = levelFor(units, now) - Level;
   return missing > 0 ? spanOf(missing / Setup.PerSecond) : Span(0);
--- a/Hemlockglade/Coordination/Quota/TokenBucket.h
+++ b/Hemlockglade/Coordination/Quota/TokenBucket.h
@@ -27,14 +27,14 @@
   /// Takes over other bounds; what it holds stays, up to the burst.
   void setBounds(const Settings &settings, Instant now);
   /// Whether a request of that size passes; if so, it is taken.
-  bool take(double units, Instant now);
+  bool tryTake(double units, Instant now);
   /// Takes units that were used already.
   void charge(double units, Instant now);
-  void giveBack(double units, Instant now);
+  void release(double units, Instant now);
   /// Units that it holds; negative if it owes some.
   double level(Instant now);
   /// How long until a request of that size passes, if nothing else does.
-  Span until(double units, Instant now);
+  Span timeUntil(double units, Instant now);
   const Settings &settings() const { return Setup; }
 
 private:
--- a/Hemlockglade/Coordination/Recovery/RecoveryKeeper.cpp
+++ b/Hemlockglade/Coordination/Recovery/RecoveryCoordinator.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Recovery/RecoveryKeeper.h"
+#include "Hemlockglade/Coordination/Recovery/RecoveryCoordinator.h"
 
 #include "Hemlockglade/Coordination/Lease/LeaseTypes.h"
 
@@ -7,17 +7,17 @@
 
 namespace hemlockglade {
 
-RecoveryKeeper::RecoveryKeeper(const RecoverySettings &settings,
-                               RecoveryHooks hooks)
+RecoveryCoordinator::RecoveryCoordinator(const RecoverySettings &settings,
+                                         RecoveryHooks hooks)
     : Settings(settings), Hooks(std::move(hooks)) {}
 
-std::string RecoveryKeeper::keyOf(const RecoveryNode &node) {
+std::string RecoveryCoordinator::keyOf(const RecoveryNode &node) {
   return node.Name + '/' + std::string(processOf(node.Incarnation));
 }
 
-void RecoveryKeeper::begin(const std::string &cell, Epoch epoch,
-                           const std::vector<RecoveryNode> &nodes,
-                           bool allChecked, Instant now) {
+void RecoveryCoordinator::begin(const std::string &cell, Epoch epoch,
+                                const std::vector<RecoveryNode> &nodes,
+                                bool allChecked, Instant now) {
   {
     std::lock_guard lock(Mutex);
     auto &ours = Cells[cell];
@@ -36,13 +36,13 @@
   deliver();
 }
 
-void RecoveryKeeper::end(const std::string &cell) {
+void RecoveryCoordinator::end(const std::string &cell) {
   std::lock_guard lock(Mutex);
   Cells.erase(cell);
 }
 
-void RecoveryKeeper::setNodes(const std::vector<RecoveryNode> &nodes,
-                              Instant now) {
+void RecoveryCoordinator::setNodes(const std::vector<RecoveryNode> &nodes,
+                                   Instant now) {
   {
     std::lock_guard lock(Mutex);
     std::set<std::string> live;
@@ -68,16 +68,17 @@
   deliver();
 }
 
-void RecoveryKeeper::ask(OfNode &node, const std::string &name,
-                         const OfCell &cell, Instant now) {
+void RecoveryCoordinator::ask(OfNode &node, const std::string &name,
+                              const OfCell &cell, Instant now) {
   node.AskedAt = now;
   Calls.emplace_back([this, to = node.Node, name, epoch = cell.At] {
     Hooks.Ask(to, name, epoch);
   });
 }
 
-bool RecoveryKeeper::onAnswer(const RecoveryNode &node, const std::string &cell,
-                              Epoch epoch, const RunningAnswer &answer) {
+bool RecoveryCoordinator::onAnswer(const RecoveryNode &node,
+                                   const std::string &cell, Epoch epoch,
+                                   const RunningAnswer &answer) {
   {
     std::lock_guard lock(Mutex);
     auto it = Cells.find(cell);
@@ -103,8 +104,8 @@
   return true;
 }
 
-void RecoveryKeeper::adopt(OfNode &node, const RegisteredRequest &request,
-                           Epoch epoch) {
+void RecoveryCoordinator::adopt(OfNode &node, const RegisteredRequest &request,
+                                Epoch epoch) {
   // What we admitted ourselves is known already.
   if (request.Admitted >= epoch || node.Ended.contains(request.Id))
     return;
@@ -114,9 +115,9 @@
       [this, from = node.Node, request] { Hooks.OnAdopted(from, request); });
 }
 
-void RecoveryKeeper::onFinished(const RecoveryNode &node,
-                                const std::string &cell,
-                                const std::string &id) {
+void RecoveryCoordinator::onFinished(const RecoveryNode &node,
+                                     const std::string &cell,
+                                     const std::string &id) {
   {
     std::lock_guard lock(Mutex);
     auto it = Cells.find(cell);
@@ -138,7 +139,7 @@
   deliver();
 }
 
-void RecoveryKeeper::tick(Instant now) {
+void RecoveryCoordinator::tick(Instant now) {
   {
     std::lock_guard lock(Mutex);
     for (auto &[name, cell] : Cells) {
@@ -165,13 +166,13 @@
   deliver();
 }
 
-void RecoveryKeeper::dropLost(OfNode &node) {
+void RecoveryCoordinator::dropLost(OfNode &node) {
   for (const auto &[id, request] : node.Adopted)
     Calls.emplace_back(
         [this, request = request] { Hooks.OnFinished(request); });
 }
 
-void RecoveryKeeper::settle(const std::string &name, OfCell &cell) {
+void RecoveryCoordinator::settle(const std::string &name, OfCell &cell) {
   if (cell.Recovered || cell.Superseded)
     return;
   bool waits = std::any_of(cell.Nodes.begin(), cell.Nodes.end(),
@@ -183,13 +184,14 @@
       [this, name, epoch = cell.At] { Hooks.OnRecovered(name, epoch); });
 }
 
-LeaseMode RecoveryKeeper::mode(const std::string &cell, LeaseMode lease) const {
+LeaseMode RecoveryCoordinator::mode(const std::string &cell,
+                                    LeaseMode lease) const {
   if (lease != LeaseMode::Held)
     return lease;
   return recovered(cell) ? LeaseMode::Held : LeaseMode::Recovering;
 }
 
-void RecoveryKeeper::deliver() {
+void RecoveryCoordinator::deliver() {
   std::unique_lock lock(Mutex);
   if (std::exchange(Delivering, true))
     return;
@@ -203,14 +205,14 @@
   Delivering = false;
 }
 
-bool RecoveryKeeper::recovered(const std::string &cell) const {
+bool RecoveryCoordinator::recovered(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
   return it != Cells.end() && it->second.Recovered && !it->second.Superseded;
 }
 
 std::vector<std::string>
-RecoveryKeeper::waitingFor(const std::string &cell) const {
+RecoveryCoordinator::waitingFor(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   std::vector<std::string> out;
   auto it = Cells.find(cell);
@@ -223,7 +225,7 @@
   return out;
 }
 
-std::uint64_t RecoveryKeeper::waitedOut() const {
+std::uint64_t RecoveryCoordinator::waitedOut() const {
   std::lock_guard lock(Mutex);
   return WaitedOut;
 }
--- a/Hemlockglade/Coordination/Recovery/RecoveryKeeper.h
+++ b/Hemlockglade/Coordination/Recovery/RecoveryCoordinator.h
@@ -46,9 +46,9 @@
 /// Recovery before eviction: after a takeover, asks every node for what it
 /// runs of the cell, and says when all of it is known. Time comes with the
 /// calls. Safe to call from several threads.
-class RecoveryKeeper {
+class RecoveryCoordinator {
 public:
-  RecoveryKeeper(const RecoverySettings &settings, RecoveryHooks hooks);
+  RecoveryCoordinator(const RecoverySettings &settings, RecoveryHooks hooks);
 
   /// The cell is ours at the epoch. `nodes` are all that may run something of
   /// it: those alive, and the former owner. `allChecked` if all its engines
--- a/Hemlockglade/Coordination/Registry/Registry.h
+++ b/Hemlockglade/Coordination/Registry/Registry.h
@@ -33,17 +33,17 @@
 /// The replicas that are registered, or what has changed of them.
 struct ReplicaChanges {
   /// Whether this is the whole list rather than changes.
-  bool Whole = false;
+  bool Complete = false;
   std::vector<ReplicaRecord> Present;
   /// Ids of replicas whose entries were removed.
   std::vector<std::string> Removed;
   std::uint64_t Position = 0;
   /// Ids under which something lies that is no replica's entry. Nothing new is
   /// known of these replicas.
-  std::vector<std::string> Unread = {};
+  std::vector<std::string> Unreadable = {};
   /// The registry has come back older than it was: entries that are missing may
   /// be written again.
-  bool SteppedBack = false;
+  bool RolledBack = false;
 };
 
 template <typename T>
@@ -63,10 +63,10 @@
       WatchReplicas;
   /// Read what another node passes on: `Source` of a plan or a replica.
   std::function<std::shared_ptr<const RoutePlan>(std::string_view source)>
-      ReadPlan;
+      ParsePlan;
   std::function<std::optional<ReplicaRecord>(std::string_view id,
                                              std::string_view source)>
-      ReadReplica;
+      ParseReplica;
 };
 
 /// Calls to the registry and the table, by what they were for.
--- a/Hemlockglade/Coordination/Registry/RegistryLog.cpp
+++ b/Hemlockglade/Coordination/Registry/RegistryChangeLog.cpp
@@ -1,8 +1,8 @@
-#include "Hemlockglade/Coordination/Registry/RegistryLog.h"
+#include "Hemlockglade/Coordination/Registry/RegistryChangeLog.h"
 
 namespace hemlockglade {
 
-bool RegistryLog::onOperator(const OperatorChanges &changes) {
+bool RegistryChangeLog::onOperator(const OperatorChanges &changes) {
   if (Operators.position() == 0) {
     Operators.reset(changes.Position);
     return false;
@@ -15,13 +15,13 @@
   return true;
 }
 
-bool RegistryLog::matters(const ReplicaRecord &record) {
-  auto [it, isNew] = Known.try_emplace(record.Life.id(), record);
+bool RegistryChangeLog::matters(const ReplicaRecord &record) {
+  auto [it, isNew] = Known.try_emplace(record.Incarnation.id(), record);
   const auto &old = it->second;
   // Most heartbeats change nothing that requests are routed by; what a replica
   // holds is told by its cell's owner. Told in full they would be 30 KB/s to
   // each node of a deployment with 140 replicas.
-  bool same = !isNew && old.Life == record.Life &&
+  bool same = !isNew && old.Incarnation == record.Incarnation &&
               old.Service == record.Service && old.Address == record.Address &&
               old.FailureDomain == record.FailureDomain &&
               old.Slots == record.Slots && old.Draining == record.Draining;
@@ -29,11 +29,11 @@
   return !same;
 }
 
-bool RegistryLog::onReplicas(const ReplicaChanges &changes) {
-  if (changes.Whole) {
+bool RegistryChangeLog::onReplicas(const ReplicaChanges &changes) {
+  if (changes.Complete) {
     Known.clear();
     for (const auto &it : changes.Present)
-      Known.emplace(it.Life.id(), it);
+      Known.emplace(it.Incarnation.id(), it);
     Replicas.reset(changes.Position);
     return false;
   }
--- a/Hemlockglade/Coordination/Registry/RegistryLog.h
+++ b/Hemlockglade/Coordination/Registry/RegistryChangeLog.h
@@ -49,14 +49,14 @@
 
 /// What a node has lately seen change in the registry, for nodes that hear of
 /// it from this one instead of looking themselves. No clock, no sockets.
-class RegistryLog {
+class RegistryChangeLog {
 public:
   struct Settings {
     /// Looks with changes that are kept: those of more than a minute.
     std::size_t MostKept = 128;
   };
 
-  explicit RegistryLog(Settings settings) : Setup(settings) {}
+  explicit RegistryChangeLog(Settings settings) : Setup(settings) {}
 
   /// Each gives whether there is something new to tell.
   bool onOperator(const OperatorChanges &changes);
--- a/Hemlockglade/Coordination/Registry/LookPace.cpp
+++ b/Hemlockglade/Coordination/Registry/RegistryPollSettings.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Registry/LookPace.h"
+#include "Hemlockglade/Coordination/Registry/RegistryPollSettings.h"
 
 #include <algorithm>
 
@@ -21,17 +21,18 @@
 
 } // namespace
 
-LookPace LookPace::within(Span planBound, Span drainBound) {
-  const LookPace usual;
+RegistryPollSettings RegistryPollSettings::forBounds(Span planBound,
+                                                     Span drainBound) {
+  const RegistryPollSettings usual;
   auto bound = std::min(planBound, drainBound);
-  LookPace out;
-  out.OperatorWait = share(planBound, WaitShare, LongestWait);
+  RegistryPollSettings out;
+  out.MaxOperatorWait = share(planBound, WaitShare, LongestWait);
   out.ReplicaPeriod = share(drainBound, WaitShare, usual.ReplicaPeriod);
-  out.Patience = share(bound, PatienceShare, usual.Patience);
-  out.LongestPause = share(bound, LongestPauseShare, usual.LongestPause);
-  out.OperatorAge = scaled(planBound, AgeShare);
-  out.ReplicaAge = scaled(drainBound, AgeShare);
-  out.Pause = std::min(usual.Pause, out.LongestPause);
+  out.AnswerTimeout = share(bound, PatienceShare, usual.AnswerTimeout);
+  out.MaxRetryPause = share(bound, LongestPauseShare, usual.MaxRetryPause);
+  out.MaxOperatorAge = scaled(planBound, AgeShare);
+  out.MaxReplicaAge = scaled(drainBound, AgeShare);
+  out.RetryPause = std::min(usual.RetryPause, out.MaxRetryPause);
   return out;
 }
 
--- a/Hemlockglade/Coordination/Retry/OutcomeOf.cpp
+++ b/Hemlockglade/Coordination/Retry/OutcomeOf.cpp
@@ -2,7 +2,7 @@
 
 namespace hemlockglade {
 
-Outcome outcomeOf(const AttemptSeen &seen) {
+Outcome outcomeOf(const AttemptObservation &seen) {
   if (!seen.MayHaveSent)
     return Outcome::NotRun;
   // A refusal that is cut off may be the beginning of anything.
--- a/Hemlockglade/Coordination/Retry/OutcomeOf.h
+++ b/Hemlockglade/Coordination/Retry/OutcomeOf.h
@@ -5,7 +5,7 @@
 namespace hemlockglade {
 
 /// What was seen of one attempt at an endpoint.
-struct AttemptSeen {
+struct AttemptObservation {
   /// A byte of the request may have reached the endpoint.
   bool MayHaveSent = false;
   /// The endpoint itself said that it refused before running.
@@ -19,7 +19,7 @@
 /// The outcome of an attempt: `NotRun` only if no byte reached the endpoint or
 /// it refused before running; `Complete` only if the caller has all of the
 /// answer; everything else may have run.
-Outcome outcomeOf(const AttemptSeen &seen);
+Outcome outcomeOf(const AttemptObservation &seen);
 
 /// The outcome of a request whose earlier attempts ended as `earlier` and the
 /// last one as `last`: not run only if none of them ran.
--- a/Hemlockglade/Coordination/Retry/PendingAsks.cpp
+++ b/Hemlockglade/Coordination/Retry/PendingAdmissions.cpp
@@ -1,24 +1,26 @@
-#include "Hemlockglade/Coordination/Retry/PendingAsks.h"
+#include "Hemlockglade/Coordination/Retry/PendingAdmissions.h"
 
 #include <set>
 #include <utility>
 
 namespace hemlockglade {
 
-PendingAsks::Ticket PendingAsks::add(std::string cell, std::string owner,
-                                     Instant deadline, OnFailure onFailure) {
+PendingAdmissions::Ticket PendingAdmissions::add(std::string cell,
+                                                 std::string owner,
+                                                 Instant deadline,
+                                                 OnFailure onFailure) {
   std::lock_guard lock(Mutex);
   Asks.emplace(++Last, Ask{std::move(cell), std::move(owner), deadline,
                            std::move(onFailure)});
   return Last;
 }
 
-void PendingAsks::remove(Ticket ticket) {
+void PendingAdmissions::remove(Ticket ticket) {
   std::lock_guard lock(Mutex);
   Asks.erase(ticket);
 }
 
-std::vector<std::string> PendingAsks::waitedCells() const {
+std::vector<std::string> PendingAdmissions::waitedCells() const {
   std::lock_guard lock(Mutex);
   std::set<std::string> cells;
   for (const auto &[ticket, ask] : Asks)
@@ -26,12 +28,12 @@
   return {cells.begin(), cells.end()};
 }
 
-void PendingAsks::tick(Instant now, const OwnerOf &ownerOf) {
+void PendingAdmissions::tick(Instant now, const OwnerOf &ownerOf) {
   // Looked up without the lock, which is the innermost.
   std::map<std::string, std::string> owners;
   for (const auto &cell : waitedCells())
     owners[cell] = ownerOf(cell);
-  std::vector<std::pair<OnFailure, AskFailure>> failed;
+  std::vector<std::pair<OnFailure, AdmissionFailure>> failed;
   {
     std::lock_guard lock(Mutex);
     for (auto it = Asks.begin(); it != Asks.end();) {
@@ -44,8 +46,8 @@
         continue;
       }
       failed.emplace_back(std::move(ask.Failed),
-                          late ? AskFailure::DeadlinePassed
-                               : AskFailure::OwnerChanged);
+                          late ? AdmissionFailure::DeadlinePassed
+                               : AdmissionFailure::OwnerChanged);
       it = Asks.erase(it);
     }
   }
--- a/Hemlockglade/Coordination/Retry/PendingAsks.h
+++ b/Hemlockglade/Coordination/Retry/PendingAdmissions.h
@@ -11,7 +11,7 @@
 namespace hemlockglade {
 
 /// Why an owner's answer is not waited for any longer.
-enum class AskFailure {
+enum class AdmissionFailure {
   /// Another node owns the cell now, or none does.
   OwnerChanged,
   /// The request's deadline has passed.
@@ -21,10 +21,10 @@
 /// Requests for admission that wait for an answer of their cell's owner. A
 /// frozen owner keeps its connections open and answers nothing, so the end of
 /// a wait can't be left to the connection. Safe to call from several threads.
-class PendingAsks {
+class PendingAdmissions {
 public:
   using Ticket = std::uint64_t;
-  using OnFailure = std::function<void(AskFailure)>;
+  using OnFailure = std::function<void(AdmissionFailure)>;
   /// The address of a cell's owner as known now; empty if there is none.
   using OwnerOf = std::function<std::string(const std::string &cell)>;
 
--- a/Hemlockglade/Coordination/Route/TurnQueue.cpp
+++ b/Hemlockglade/Coordination/Route/FairQueue.cpp
@@ -1,11 +1,11 @@
-#include "Hemlockglade/Coordination/Route/TurnQueue.h"
+#include "Hemlockglade/Coordination/Route/FairQueue.h"
 
 #include <algorithm>
 #include <tuple>
 
 namespace hemlockglade {
 
-TurnQueue::Ticket TurnQueue::join(const std::string &service, Request request) {
+FairQueue::Ticket FairQueue::join(const std::string &service, Request request) {
   auto &line = Lines[service];
   auto &last = line.LastTurns[request.Workspace];
   // A workspace that waited for nothing lately begins beside the others.
@@ -15,7 +15,7 @@
   return ticket;
 }
 
-TurnQueue::Waiting *TurnQueue::find(const std::string &service, Ticket ticket) {
+FairQueue::Waiting *FairQueue::find(const std::string &service, Ticket ticket) {
   auto line = Lines.find(service);
   if (line == Lines.end())
     return nullptr;
@@ -26,7 +26,7 @@
   return it == all.end() ? nullptr : &*it;
 }
 
-void TurnQueue::onServed(const std::string &service, Ticket ticket) {
+void FairQueue::onServed(const std::string &service, Ticket ticket) {
   if (auto *it = find(service, ticket)) {
     auto &line = Lines.at(service);
     line.Reached = std::max(line.Reached, it->Turn);
@@ -34,7 +34,7 @@
   leave(service, ticket);
 }
 
-void TurnQueue::leave(const std::string &service, Ticket ticket) {
+void FairQueue::leave(const std::string &service, Ticket ticket) {
   auto line = Lines.find(service);
   if (line == Lines.end())
     return;
@@ -45,22 +45,22 @@
     Lines.erase(line);
 }
 
-void TurnQueue::passOver(const std::string &service, Ticket ticket,
-                         Instant until) {
+void FairQueue::deferUntil(const std::string &service, Ticket ticket,
+                           Instant until) {
   if (auto *it = find(service, ticket))
     it->PassedOverUntil = until;
 }
 
-bool TurnQueue::goesBefore(const Waiting &a, const Waiting &b, Instant now) {
+bool FairQueue::goesBefore(const Waiting &a, const Waiting &b, Instant now) {
   auto key = [now](const Waiting &it) {
     return std::tuple(now >= it.PassedOverUntil ? 0 : 1,
-                      now < it.Of.TimelyUntil ? 0 : 1, it.Of.Rank, it.Turn,
+                      now < it.Of.OnTimeUntil ? 0 : 1, it.Of.Rank, it.Turn,
                       it.Number);
   };
   return key(a) < key(b);
 }
 
-const TurnQueue::Waiting *TurnQueue::nextOf(const std::string &service,
+const FairQueue::Waiting *FairQueue::nextOf(const std::string &service,
                                             Instant now) const {
   auto line = Lines.find(service);
   if (line == Lines.end())
@@ -72,17 +72,17 @@
   return it == all.end() ? nullptr : &*it;
 }
 
-bool TurnQueue::isNext(const std::string &service, Ticket ticket,
+bool FairQueue::isNext(const std::string &service, Ticket ticket,
                        Instant now) const {
   const auto *next = nextOf(service, now);
   return !next || next->Number == ticket;
 }
 
-bool TurnQueue::anyWaits(const std::string &service) const {
+bool FairQueue::hasWaiting(const std::string &service) const {
   return Lines.contains(service);
 }
 
-void TurnQueue::wakeNext(const std::string &service, Instant now) const {
+void FairQueue::wakeNext(const std::string &service, Instant now) const {
   const auto *next = nextOf(service, now);
   if (next && next->Of.Wake)
     next->Of.Wake();
--- a/Hemlockglade/Coordination/Route/TurnQueue.h
+++ b/Hemlockglade/Coordination/Route/FairQueue.h
@@ -15,14 +15,14 @@
 /// that a workspace with few requests waits behind few of any other one. What
 /// can still be in time goes before what can't, and more urgent ranks before
 /// others. No clock, no sockets.
-class TurnQueue {
+class FairQueue {
 public:
   using Ticket = std::uint64_t;
   struct Request {
     std::string Workspace;
     std::uint32_t Rank = 0;
     /// From then on it can't be in time any more.
-    Instant TimelyUntil{};
+    Instant OnTimeUntil{};
     /// It is its turn: it should look for room.
     std::function<void()> Wake;
   };
@@ -34,11 +34,11 @@
   /// It waits no more.
   void leave(const std::string &service, Ticket ticket);
   /// It found no room where others may, and is passed over until then.
-  void passOver(const std::string &service, Ticket ticket, Instant until);
+  void deferUntil(const std::string &service, Ticket ticket, Instant until);
 
   /// Whether none that waits goes before it.
   bool isNext(const std::string &service, Ticket ticket, Instant now) const;
-  bool anyWaits(const std::string &service) const;
+  bool hasWaiting(const std::string &service) const;
   /// Wakes the one whose turn it is.
   void wakeNext(const std::string &service, Instant now) const;
 
--- a/Hemlockglade/Coordination/Route/ReadingSpeed.cpp
+++ b/Hemlockglade/Coordination/Route/PrefillSpeed.cpp
@@ -1,10 +1,10 @@
-#include "Hemlockglade/Coordination/Route/ReadingSpeed.h"
+#include "Hemlockglade/Coordination/Route/PrefillSpeed.h"
 
 #include <algorithm>
 
 namespace hemlockglade {
 
-void ReadingSpeed::add(std::uint32_t tokens, Span took) {
+void PrefillSpeed::add(std::uint32_t tokens, Span took) {
   double t = tokens;
   auto y = static_cast<double>(took.count());
   N = N * Setup.Fade + 1;
@@ -14,7 +14,7 @@
   TY = TY * Setup.Fade + t * y;
 }
 
-double ReadingSpeed::usPerToken() const {
+double PrefillSpeed::usPerToken() const {
   double spread = N * TT - T * T;
   // Prompts that are all of one length tell nothing of the slope.
   constexpr double LeastSpread = 1e4;
--- a/Hemlockglade/Coordination/Route/ReadingSpeed.h
+++ b/Hemlockglade/Coordination/Route/PrefillSpeed.h
@@ -6,7 +6,7 @@
 
 /// How fast engines read prompts, learnt from how long first events took: a
 /// straight line through time and tokens, older samples fading.
-class ReadingSpeed {
+class PrefillSpeed {
 public:
   struct Settings {
     /// What is taken until enough was seen: 20 tokens a millisecond.
@@ -19,8 +19,8 @@
     double Bound = 8;
   };
 
-  ReadingSpeed() : ReadingSpeed(Settings{}) {}
-  explicit ReadingSpeed(Settings settings) : Setup(settings) {}
+  PrefillSpeed() : PrefillSpeed(Settings{}) {}
+  explicit PrefillSpeed(Settings settings) : Setup(settings) {}
 
   void add(std::uint32_t tokens, Span took);
   double usPerToken() const;
