--- a/Hemlockglade/Coordination/Route/ReplicaHealth.cpp
+++ b/Hemlockglade/Coordination/Route/ReplicaHealth.cpp
@@ -28,8 +28,9 @@
 void ReplicaHealth::onEnd(std::uint64_t attempt, AttemptVerdict verdict,
                           Instant now) {
   Unanswered.erase(attempt);
-  bool bad = verdict == AttemptVerdict::Bad || verdict == AttemptVerdict::Shed;
-  bool own = verdict == AttemptVerdict::OwnFailure;
+  bool bad = verdict == AttemptVerdict::NoValidAnswer ||
+             verdict == AttemptVerdict::Shed;
+  bool own = verdict == AttemptVerdict::ReplicaError;
   Failed = faded(Failed, now);
   OwnFailed = faded(OwnFailed, now);
   Failed += Setup.Step * ((bad ? 1.0 : 0.0) - Failed);
@@ -37,13 +38,15 @@
   At = now;
 }
 
-double ReplicaHealth::failures(Instant now) const { return faded(Failed, now); }
+double ReplicaHealth::failureShare(Instant now) const {
+  return faded(Failed, now);
+}
 
-double ReplicaHealth::ownFailures(Instant now) const {
+double ReplicaHealth::replicaErrorShare(Instant now) const {
   return faded(OwnFailed, now);
 }
 
-bool ReplicaHealth::overdue(Instant now) const {
+bool ReplicaHealth::isOverdue(Instant now) const {
   if (Unanswered.empty())
     return false;
   // Attempts are numbered in the order in which they are sent.
--- a/Hemlockglade/Coordination/Route/ReplicaHealth.h
+++ b/Hemlockglade/Coordination/Route/ReplicaHealth.h
@@ -8,13 +8,13 @@
 
 /// How an attempt at a replica ended, as far as the replica is to blame.
 enum class AttemptVerdict : std::uint8_t {
-  Good,
+  Success,
   /// It failed the request itself, with a proper answer.
-  OwnFailure,
+  ReplicaError,
   /// It shed the request.
   Shed,
   /// No connection, a broken one, no answer in time, or wrong bytes.
-  Bad,
+  NoValidAnswer,
 };
 
 /// What one node has seen of a replica's conduct, without asking it.
@@ -42,13 +42,13 @@
   void onEnd(std::uint64_t attempt, AttemptVerdict verdict, Instant now);
 
   /// Share of recent attempts that were bad or shed, 0 to 1.
-  double failures(Instant now) const;
+  double failureShare(Instant now) const;
   /// Share of recent attempts that the replica failed with a proper answer.
-  double ownFailures(Instant now) const;
+  double replicaErrorShare(Instant now) const;
   /// Whether the oldest request without an answer waits unusually long.
-  bool overdue(Instant now) const;
+  bool isOverdue(Instant now) const;
   /// Usual time to the first byte of an answer.
-  Span usualAnswer() const { return Usual; }
+  Span typicalFirstByte() const { return Usual; }
 
 private:
   double faded(double share, Instant now) const;
--- a/Hemlockglade/Coordination/Route/ReplicaView.cpp
+++ b/Hemlockglade/Coordination/Route/ReplicaView.cpp
@@ -18,13 +18,13 @@
 
 } // namespace
 
-bool RouteQuery::passesOver(const std::string &incarnation, Instant now) const {
-  auto rests = Resting.find(incarnation);
-  return Avoid.contains(incarnation) ||
-         (rests != Resting.end() && now < rests->second);
+bool RouteQuery::excludes(const std::string &incarnation, Instant now) const {
+  auto rests = BackoffUntil.find(incarnation);
+  return Excluded.contains(incarnation) ||
+         (rests != BackoffUntil.end() && now < rests->second);
 }
 
-bool ReplicaView::takeLife(const ReplicaLife &life, Instant now,
+bool ReplicaView::takeLife(const ReplicaIncarnation &life, Instant now,
                            std::vector<ReplicaPtr> &ended) {
   auto [at, isFirst] = Lives.try_emplace(life.id(), life);
   // An earlier start's heartbeat that was on its way, or an entry that does not
@@ -44,9 +44,9 @@
 
 void ReplicaView::takeRecord(const ReplicaRecord &record, Instant now,
                              std::vector<ReplicaPtr> &ended) {
-  if (!takeLife(record.Life, now, ended))
+  if (!takeLife(record.Incarnation, now, ended))
     return;
-  auto [it, isNew] = Replicas.try_emplace(record.Life.text());
+  auto [it, isNew] = Replicas.try_emplace(record.Incarnation.text());
   auto &seen = it->second;
   // A heartbeat that was on its way when the replica began to leave must not
   // bring it back.
@@ -59,7 +59,7 @@
   seen.GoneTold = false;
   if (isNew)
     index();
-  if (auto told = Early.find(record.Life.text()); told != Early.end()) {
+  if (auto told = Early.find(record.Incarnation.text()); told != Early.end()) {
     seen.Held = std::move(told->second);
     seen.ByOwner = true;
     Early.erase(told);
@@ -77,25 +77,26 @@
     takeRecord(it, now, ended);
   std::set<std::string> vanished(changes.Removed.begin(),
                                  changes.Removed.end());
-  std::set<std::string> present(changes.Unread.begin(), changes.Unread.end());
+  std::set<std::string> present(changes.Unreadable.begin(),
+                                changes.Unreadable.end());
   for (const auto &it : changes.Present)
-    present.insert(it.Life.id());
+    present.insert(it.Incarnation.id());
   std::size_t used = 0;
   for (const auto &[key, seen] : Replicas) {
-    const auto &id = seen.Record->Life.id();
+    const auto &id = seen.Record->Incarnation.id();
     used += usable(seen) ? 1 : 0;
-    if (changes.Whole && !present.contains(id))
+    if (changes.Complete && !present.contains(id))
       vanished.insert(id);
   }
   // Entries lapse together when the registry itself was away. A single one that
   // goes while only this node was cut off is a replica that left, for which the
   // bound on new work runs already.
   constexpr double LapseShare = 1.0 / 3;
-  bool lapsed = changes.SteppedBack ||
+  bool lapsed = changes.RolledBack ||
                 (unreachable && static_cast<double>(vanished.size()) >=
                                     LapseShare * static_cast<double>(used));
   for (auto &[key, seen] : Replicas)
-    if (vanished.contains(seen.Record->Life.id()))
+    if (vanished.contains(seen.Record->Incarnation.id()))
       vanish(seen, lapsed, now);
   return ended;
 }
@@ -106,7 +107,7 @@
     ++Revision;
   }
   if (!seen.VanishesAt)
-    seen.VanishesAt = now + (lapsed ? Setup.LapseGrace : Span(0));
+    seen.VanishesAt = now + (lapsed ? Setup.ExpiryGrace : Span(0));
 }
 
 void ReplicaView::onResidency(const std::string &replica, Residency held,
@@ -142,8 +143,8 @@
     it->second.LateSince.erase(weights);
 }
 
-void ReplicaView::onOthersRunning(const std::string &replica,
-                                  std::uint32_t running, Instant now) {
+void ReplicaView::onRunningElsewhere(const std::string &replica,
+                                     std::uint32_t running, Instant now) {
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return;
@@ -151,8 +152,8 @@
   it->second.OthersAt = now;
 }
 
-void ReplicaView::onOtherSent(const std::string &replica, std::uint32_t tokens,
-                              Instant now) {
+void ReplicaView::onSentElsewhere(const std::string &replica,
+                                  std::uint32_t tokens, Instant now) {
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return;
@@ -164,7 +165,7 @@
 Span ReplicaView::timeToRead(const std::string &service,
                              std::uint32_t tokens) const {
   auto it = Speeds.find(service);
-  double each = it == Speeds.end() ? ReadingSpeed().usPerToken()
+  double each = it == Speeds.end() ? PrefillSpeed().usPerToken()
                                    : it->second.usPerToken();
   return Span(static_cast<std::int64_t>(Setup.ReadOverhead * each * tokens));
 }
@@ -191,10 +192,10 @@
          std::min(query.PromptTokens, sharedTokens(seen, query));
 }
 
-bool ReplicaView::suspect(const std::string &replica, Instant now) const {
+bool ReplicaView::isSuspect(const std::string &replica, Instant now) const {
   auto it = Replicas.find(replica);
   return it != Replicas.end() &&
-         it->second.Health.ownFailures(now) >
+         it->second.Health.replicaErrorShare(now) >
              usualFailures(it->second.Record->Service, now);
 }
 
@@ -234,8 +235,8 @@
   return Versions.replacedAt(weights, version);
 }
 
-std::optional<Instant> ReplicaView::beginsBy(const WeightsRef &weights,
-                                             std::uint64_t version) const {
+std::optional<Instant> ReplicaView::mustBeginBy(const WeightsRef &weights,
+                                                std::uint64_t version) const {
   auto replaced = replacedAt(weights, version);
   if (!replaced)
     return std::nullopt;
@@ -251,21 +252,21 @@
 
 std::uint32_t ReplicaView::sharedTokens(const Seen &seen,
                                         const RouteQuery &query) const {
-  if (query.Parts.empty())
+  if (query.PromptParts.empty())
     return 0;
   std::size_t n = 0;
-  while (n < query.Parts.size() &&
-         seen.Parts.contains(partKey(query, query.Parts[n])))
+  while (n < query.PromptParts.size() &&
+         seen.Parts.contains(partKey(query, query.PromptParts[n])))
     ++n;
   return static_cast<std::uint32_t>(query.SharedTokens * n /
-                                    query.Parts.size());
+                                    query.PromptParts.size());
 }
 
 bool ReplicaView::hasRoom(const Seen &seen, const RouteQuery &query,
                           Instant now) const {
   const auto *service = Plan ? Plan->service(seen.Record->Service) : nullptr;
   if (!service || !service->Engine)
-    return !Setup.Windows || !seen.Window ||
+    return !Setup.UseWindows || !seen.Window ||
            seen.Window->hasRoom(seen.Own, now);
   auto running = seen.Own + seen.Others;
   double bound = service->Engine->Slots * (1 + Setup.QueueShare);
@@ -289,7 +290,7 @@
     return least;
   for (const auto *it : all->second)
     if (usable(*it))
-      least = std::min(least, it->Health.ownFailures(now));
+      least = std::min(least, it->Health.replicaErrorShare(now));
   return least + Setup.UsualFailures;
 }
 
@@ -298,10 +299,11 @@
   double out = static_cast<double>(seen.Own + seen.Others) /
                std::max(1U, seen.Record->Slots);
   if (seen.Record->FailureDomain != Setup.FailureDomain)
-    out += Setup.FarCost;
-  double own = std::max(0.0, seen.Health.ownFailures(now) - usualFailures);
-  out += Setup.FailureCost * (seen.Health.failures(now) + own);
-  if (seen.Health.overdue(now))
+    out += Setup.RemoteCost;
+  double own =
+      std::max(0.0, seen.Health.replicaErrorShare(now) - usualFailures);
+  out += Setup.FailureCost * (seen.Health.failureShare(now) + own);
+  if (seen.Health.isOverdue(now))
     out += Setup.OverdueCost;
   auto backlog = std::max(Span(0), seen.BusyUntil - now);
   out += Setup.BacklogCost * inSeconds(backlog);
@@ -328,7 +330,7 @@
       continue;
     known = true;
     near = near || seen.Record->FailureDomain == Setup.FailureDomain;
-    if (query.passesOver(seen.Record->Life.text(), now))
+    if (query.excludes(seen.Record->Incarnation.text(), now))
       continue;
     if (query.Weights) {
       auto held = seen.Held.find(*query.Weights);
@@ -353,29 +355,30 @@
   if (!best) {
     out.ReadyAt = soonest;
     if (!known)
-      out.What = RouteChoice::Kind::Nobody;
+      out.Result = RouteChoice::Kind::NoReplica;
     else if (soonest != Instant::max())
-      out.What = RouteChoice::Kind::Wait;
+      out.Result = RouteChoice::Kind::AwaitLoad;
     else if (full)
-      out.What = RouteChoice::Kind::Full;
+      out.Result = RouteChoice::Kind::Full;
     else
-      out.What =
-          query.Weights ? RouteChoice::Kind::Missing : RouteChoice::Kind::Full;
+      out.Result = query.Weights ? RouteChoice::Kind::NotLoaded
+                                 : RouteChoice::Kind::Full;
     return out;
   }
   auto bound = paceBound(query, now);
   bool paced = query.Weights && best->BusyUntil - now > bound;
-  out.What = paced ? RouteChoice::Kind::Pace : RouteChoice::Kind::Send;
+  out.Result =
+      paced ? RouteChoice::Kind::AwaitPrefill : RouteChoice::Kind::Send;
   out.ReadyAt = best->BusyUntil - bound;
-  out.Clean = best->BusyUntil <= now;
+  out.PrefillIdle = best->BusyUntil <= now;
   out.Replica = best->Record;
   if (query.Weights) {
     out.Version = best->Held.at(*query.Weights).Version;
-    out.Newest = Versions.newest(*query.Weights);
+    out.NewestVersion = Versions.newest(*query.Weights);
     out.ReplacedAt = replacedAt(*query.Weights, out.Version);
-    out.BeginsBy = beginsBy(*query.Weights, out.Version);
+    out.MustBeginBy = mustBeginBy(*query.Weights, out.Version);
   }
-  out.Far = near && best->Record->FailureDomain != Setup.FailureDomain;
+  out.Remote = near && best->Record->FailureDomain != Setup.FailureDomain;
   out.Running = best->Own + best->Others;
   if (best->OthersAt > Instant{})
     out.LoadAge = now - best->OthersAt;
@@ -383,7 +386,7 @@
 }
 
 Span ReplicaView::paceBound(const RouteQuery &query, Instant now) const {
-  if (now >= query.TimelyUntil)
+  if (now >= query.OnTimeUntil)
     return -Setup.LateIdle;
   constexpr std::uint32_t MostRanks = 4;
   return Setup.PaceBacklog -
@@ -414,7 +417,7 @@
         std::max(now, seen.BusyUntil) +
         timeToRead(seen.Record->Service, unreadTokens(seen, query));
   }
-  for (auto part : query.Parts)
+  for (auto part : query.PromptParts)
     seen.Parts[partKey(query, part)] = now;
   return attempt;
 }
@@ -434,8 +437,8 @@
   auto &seen = it->second;
   if (seen.Window && verdict == AttemptVerdict::Shed)
     seen.Window->onShed(now);
-  else if (seen.Window && verdict != AttemptVerdict::Bad)
-    seen.Window->onAnswered(now - query.SentAt, query.Target, seen.Own,
+  else if (seen.Window && verdict != AttemptVerdict::NoValidAnswer)
+    seen.Window->onAnswered(now - query.SentAt, query.TargetLatency, seen.Own,
                             Part * seen.Record->Slots, now);
   seen.Own -= seen.Own ? 1 : 0;
   seen.OwnTokens -= std::min<std::uint64_t>(seen.OwnTokens, query.Tokens);
@@ -480,8 +483,8 @@
   }
 }
 
-std::vector<ReplicaLife> ReplicaView::tidy(Instant now) {
-  std::vector<ReplicaLife> gone;
+std::vector<ReplicaIncarnation> ReplicaView::removeExpired(Instant now) {
+  std::vector<ReplicaIncarnation> gone;
   constexpr auto KeepGone = std::chrono::seconds(10);
   for (auto it = Replicas.begin(); it != Replicas.end();) {
     auto &seen = it->second;
@@ -491,15 +494,15 @@
     }
     bool isGone = seen.VanishesAt && now >= *seen.VanishesAt;
     if (isGone && !std::exchange(seen.GoneTold, true))
-      gone.push_back(seen.Record->Life);
+      gone.push_back(seen.Record->Incarnation);
     bool over = seen.VanishesAt && now >= *seen.VanishesAt + KeepGone;
-    if (seen.Parts.size() > Setup.PartMemory)
+    if (seen.Parts.size() > Setup.MaxPromptParts)
       seen.Parts.clear();
     if (!over || seen.Own > 0) {
       ++it;
       continue;
     }
-    const auto &life = seen.Record->Life;
+    const auto &life = seen.Record->Incarnation;
     if (auto at = Lives.find(life.id());
         at != Lives.end() && at->second == life)
       Lives.erase(at);
@@ -532,7 +535,7 @@
   return out;
 }
 
-bool ReplicaView::anyVanishes() const {
+bool ReplicaView::anyPendingRemoval() const {
   return std::any_of(Replicas.begin(), Replicas.end(), [](const auto &it) {
     return usable(it.second) && it.second.VanishesAt;
   });
@@ -557,29 +560,30 @@
   return out;
 }
 
-bool ReplicaView::leaving(const std::string &replica) const {
+bool ReplicaView::isDraining(const std::string &replica) const {
   auto it = Replicas.find(replica);
   return it != Replicas.end() && it->second.Leaving;
 }
 
-Instant ReplicaView::timelyUntil(const RouteQuery &query,
+Instant ReplicaView::onTimeUntil(const RouteQuery &query,
                                  Instant arrivedAt) const {
   // Answers take longer and shorter than usual.
   constexpr double Spread = 1.4;
   constexpr double MostShare = 0.8;
   auto all = ByService.find(query.Service);
-  Span quickest = query.Target;
+  Span quickest = query.TargetLatency;
   if (all != ByService.end())
     for (const auto *it : all->second)
       if (usable(*it))
-        quickest = std::min(quickest, it->Health.usualAnswer());
-  return arrivedAt + query.Target -
-         std::min(scaled(quickest, Spread), scaled(query.Target, MostShare));
+        quickest = std::min(quickest, it->Health.typicalFirstByte());
+  return arrivedAt + query.TargetLatency -
+         std::min(scaled(quickest, Spread),
+                  scaled(query.TargetLatency, MostShare));
 }
 
-Span ReplicaView::usualAnswer(const std::string &replica) const {
+Span ReplicaView::typicalFirstByte(const std::string &replica) const {
   auto it = Replicas.find(replica);
-  return it == Replicas.end() ? Span(0) : it->second.Health.usualAnswer();
+  return it == Replicas.end() ? Span(0) : it->second.Health.typicalFirstByte();
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/ReplicaView.h
+++ b/Hemlockglade/Coordination/Route/ReplicaView.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 #include "Hemlockglade/Coordination/Registry/DeclaredVersions.h"
 #include "Hemlockglade/Coordination/Registry/Registry.h"
-#include "Hemlockglade/Coordination/Route/ReadingSpeed.h"
+#include "Hemlockglade/Coordination/Route/PrefillSpeed.h"
 #include "Hemlockglade/Coordination/Route/ReplicaHealth.h"
 #include "Hemlockglade/Coordination/Route/SendWindow.h"
 
@@ -18,28 +18,28 @@
   /// Weights that the replica must hold; none for plain services.
   std::optional<WeightsRef> Weights;
   /// Shared parts of the prompt, for replicas that have read them.
-  std::vector<std::uint64_t> Parts;
+  std::vector<std::uint64_t> PromptParts;
   std::uint32_t SharedTokens = 0;
   /// Tokens that the request takes up at most.
   std::uint32_t Tokens = 0;
   /// Prompt tokens.
   std::uint32_t PromptTokens = 0;
   /// Target latency of its route.
-  Span Target{0};
+  Span TargetLatency{0};
   /// Until then the request can still be in time; later it lets others go
   /// first.
-  Instant TimelyUntil{};
+  Instant OnTimeUntil{};
   /// Rank of its route; 0 is the most urgent.
   std::uint32_t Rank = 0;
   /// When it was sent to a replica last.
   Instant SentAt{};
   /// Starts of replicas that are not to be tried again.
-  std::set<std::string> Avoid;
+  std::set<std::string> Excluded;
   /// Starts of replicas that turned this request away unrun, until when each is
   /// left alone by it.
-  std::map<std::string, Instant> Resting;
+  std::map<std::string, Instant> BackoffUntil;
 
-  bool passesOver(const std::string &incarnation, Instant now) const;
+  bool excludes(const std::string &incarnation, Instant now) const;
 };
 
 /// What the view says to a query.
@@ -48,36 +48,36 @@
     /// Send it to the replica.
     Send,
     /// A replica will have the weights at `ReadyAt`.
-    Wait,
+    AwaitLoad,
     /// The best replica still reads prompts; it is nearly done at `ReadyAt`.
-    Pace,
+    AwaitPrefill,
     /// No replica has the weights, or will: they have to be loaded.
-    Missing,
+    NotLoaded,
     /// All that could are full.
     Full,
     /// No replica of the service is known.
-    Nobody,
+    NoReplica,
   };
 
-  Kind What = Kind::Nobody;
-  /// Set for `Send` and `Pace`.
+  Kind Result = Kind::NoReplica;
+  /// Set for `Send` and `AwaitPrefill`.
   ReplicaPtr Replica;
   /// Version of the weights there; 0 if not known.
   std::uint64_t Version = 0;
   Instant ReadyAt{};
   /// Newest version that operators are known to have named; 0 if none.
-  std::uint64_t Newest = 0;
+  std::uint64_t NewestVersion = 0;
   /// Since when the version there counts as replaced, if it does.
   std::optional<Instant> ReplacedAt;
   /// Set where the version there has been replaced: the request has to begin by
   /// then, or not at all on these weights.
-  std::optional<Instant> BeginsBy;
+  std::optional<Instant> MustBeginBy;
   /// Whether the replica is in another failure domain though the own one has
   /// replicas of the service: the weights are wanted nearer.
-  bool Far = false;
+  bool Remote = false;
   std::uint32_t Running = 0;
   /// The engine has no prompts to read, as far as is known.
-  bool Clean = false;
+  bool PrefillIdle = false;
   /// Age of what was known about the replica's load at other nodes; 0 if they
   /// never told.
   Span LoadAge{0};
@@ -92,7 +92,7 @@
     std::string FailureDomain;
     /// Load, in shares of a replica's slots, that a replica in another failure
     /// domain has to be below a near one to be taken.
-    double FarCost = 0.2;
+    double RemoteCost = 0.2;
     /// Load that a thousand tokens of a prompt are worth which need not be
     /// read again.
     double PrefixGain = 0.15;
@@ -127,7 +127,7 @@
     Span OldVersionEnd = std::chrono::milliseconds(4200);
     /// Replicas whose entries vanish while the registry was out of reach are
     /// used for this long: they may have lapsed and come back.
-    Span LapseGrace = std::chrono::milliseconds(1700);
+    Span ExpiryGrace = std::chrono::milliseconds(1700);
     /// Requests that may wait at an engine beyond its slots, as a share.
     double QueueShare = 0;
     /// Share of an engine's memory for running requests that is filled.
@@ -136,9 +136,9 @@
     /// is twice its part of the replica's slots.
     SendWindow::Settings Window;
     /// Whether plain replicas have a window.
-    bool Windows = true;
+    bool UseWindows = true;
     /// Shared parts remembered for a replica.
-    std::size_t PartMemory = 4096;
+    std::size_t MaxPromptParts = 4096;
   };
 
   explicit ReplicaView(Settings settings)
@@ -148,7 +148,7 @@
     Plan = std::move(plan);
   }
   /// This entry's part of what all in service send, 0 to 1.
-  void setPart(double part) { Part = part; }
+  void setTrafficShare(double part) { Part = part; }
   /// `unreachable`: the registry was out of reach shortly before. Gives the
   /// replicas that have started anew, as they were before.
   std::vector<ReplicaPtr> onRegistry(const ReplicaChanges &changes,
@@ -162,11 +162,11 @@
   /// An owner tells what has changed of what it told before.
   void onResidencyChange(const std::string &replica, const Residency &changed,
                          const std::vector<WeightsRef> &dropped);
-  void onOthersRunning(const std::string &replica, std::uint32_t running,
-                       Instant now);
+  void onRunningElsewhere(const std::string &replica, std::uint32_t running,
+                          Instant now);
   /// Another node sent a request to a replica.
-  void onOtherSent(const std::string &replica, std::uint32_t tokens,
-                   Instant now);
+  void onSentElsewhere(const std::string &replica, std::uint32_t tokens,
+                       Instant now);
   /// The owner of a cell is gone: what it told is used on, but the replicas'
   /// own heartbeats count again.
   void onOwnerLost(const std::string &failureDomain);
@@ -187,12 +187,12 @@
                              const RouteQuery &query) const;
   /// Until when a request that was sent for a version of weights has to begin,
   /// if that version has been replaced.
-  std::optional<Instant> beginsBy(const WeightsRef &weights,
-                                  std::uint64_t version) const;
+  std::optional<Instant> mustBeginBy(const WeightsRef &weights,
+                                     std::uint64_t version) const;
   /// Whether the replica is known to leave, or to have left.
-  bool leaving(const std::string &replica) const;
+  bool isDraining(const std::string &replica) const;
   /// Whether the replica fails more of its requests than its like.
-  bool suspect(const std::string &replica, Instant now) const;
+  bool isSuspect(const std::string &replica, Instant now) const;
   void onEnd(const std::string &replica, std::uint64_t attempt,
              const RouteQuery &query, AttemptVerdict verdict, Instant now);
   /// The replica refused because it does not have the weights, or not yet.
@@ -201,14 +201,14 @@
   /// Another incarnation has the replica's address.
   void onReplaced(const std::string &replica);
   /// Gives the replicas that are taken as gone from now on.
-  std::vector<ReplicaLife> tidy(Instant now);
+  std::vector<ReplicaIncarnation> removeExpired(Instant now);
 
   /// Records of the replicas in use in a failure domain.
   std::vector<ReplicaPtr> replicasIn(const std::string &domain) const;
   /// Records of all replicas in use.
   std::vector<ReplicaPtr> inUse() const;
   /// Whether some are used on though their entries have vanished.
-  bool anyVanishes() const;
+  bool anyPendingRemoval() const;
   /// Rises whenever `replicasIn` may give something else.
   std::uint64_t revision() const { return Revision; }
   /// Own running requests at each replica of a failure domain that has any.
@@ -223,10 +223,10 @@
   std::size_t loadingOutside(const std::string &domain, bool models,
                              Instant now) const;
   /// Usual time to an answer's first byte at a replica.
-  Span usualAnswer(const std::string &replica) const;
+  Span typicalFirstByte(const std::string &replica) const;
   /// From when on a request of a plain service that still waits can't be in
   /// time any more: its replicas need the rest of the target latency.
-  Instant timelyUntil(const RouteQuery &query, Instant arrivedAt) const;
+  Instant onTimeUntil(const RouteQuery &query, Instant arrivedAt) const;
 
 private:
   struct Seen {
@@ -271,7 +271,7 @@
   bool hasRoom(const Seen &seen, const RouteQuery &query, Instant now) const;
   double usualFailures(const std::string &service, Instant now) const;
   /// Whether a start of a replica is the latest that is known; one before ends.
-  bool takeLife(const ReplicaLife &life, Instant now,
+  bool takeLife(const ReplicaIncarnation &life, Instant now,
                 std::vector<ReplicaPtr> &ended);
   void takeRecord(const ReplicaRecord &record, Instant now,
                   std::vector<ReplicaPtr> &ended);
@@ -286,7 +286,7 @@
   std::shared_ptr<const RoutePlan> Plan;
   std::map<std::string, Seen> Replicas;
   /// The latest start of each replica, by its id.
-  std::map<std::string, ReplicaLife> Lives;
+  std::map<std::string, ReplicaIncarnation> Lives;
   /// The same by service, for choosing.
   std::map<std::string, std::vector<Seen *>> ByService;
   double Part = 1;
@@ -296,7 +296,7 @@
   DeclaredVersions Versions;
   std::uint64_t NextAttempt = 1;
   /// How fast the engines of each service read prompts.
-  std::map<std::string, ReadingSpeed> Speeds;
+  std::map<std::string, PrefillSpeed> Speeds;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/RepeatBudget.cpp
+++ b/Hemlockglade/Coordination/Route/SharedRetryBudget.cpp
@@ -1,13 +1,14 @@
-#include "Hemlockglade/Coordination/Route/RepeatBudget.h"
+#include "Hemlockglade/Coordination/Route/SharedRetryBudget.h"
 
 namespace hemlockglade {
 
-std::int64_t RepeatBudget::numberOf(Instant now) const {
+std::int64_t SharedRetryBudget::numberOf(Instant now) const {
   return now.count() /
          (Setup.Window.count() / static_cast<std::int64_t>(SlotCount));
 }
 
-RepeatBudget::Slot &RepeatBudget::slot(Slots &slots, Instant now) const {
+SharedRetryBudget::Slot &SharedRetryBudget::slot(Slots &slots,
+                                                 Instant now) const {
   auto number = numberOf(now);
   auto &out = slots[static_cast<std::size_t>(number) % SlotCount];
   if (out.Number != number)
@@ -15,11 +16,11 @@
   return out;
 }
 
-void RepeatBudget::onRequest(const std::string &service, Instant now) {
+void SharedRetryBudget::onRequest(const std::string &service, Instant now) {
   ++slot(Services[service], now).Requests;
 }
 
-bool RepeatBudget::spend(const std::string &service, Instant now) {
+bool SharedRetryBudget::tryConsume(const std::string &service, Instant now) {
   auto &slots = Services[service];
   auto oldest = numberOf(now) - static_cast<std::int64_t>(SlotCount);
   double requests = 0;
@@ -30,8 +31,8 @@
     requests += it.Requests;
     repeats += it.Repeats;
   }
-  double allowed = Setup.Used * Setup.Share * requests +
-                   Setup.ExtraUsed * Setup.Extra * Part;
+  double allowed = Setup.UsedShare * Setup.RetriesPerRequest * requests +
+                   Setup.UsedFixedShare * Setup.FixedRetries * Part;
   if (repeats + 1 > allowed)
     return false;
   ++slot(slots, now).Repeats;
--- a/Hemlockglade/Coordination/Route/RepeatBudget.h
+++ b/Hemlockglade/Coordination/Route/SharedRetryBudget.h
@@ -11,32 +11,32 @@
 /// One node's part of the budget of repeats that all nodes share: repeats of a
 /// service within a sliding window are bounded by a share of its requests and
 /// a fixed number.
-class RepeatBudget {
+class SharedRetryBudget {
 public:
   struct Settings {
     /// Repeats allowed for each request, over all nodes.
-    double Share = 0.2;
+    double RetriesPerRequest = 0.2;
     /// Repeats allowed beside, over all nodes.
-    double Extra = 20;
+    double FixedRetries = 20;
     Span Window = std::chrono::seconds(10);
     /// Part of the budget that is used. The rest covers that nodes see
     /// different numbers of requests and of each other.
-    double Used = 0.75;
+    double UsedShare = 0.75;
     /// Part of the fixed number that is used. The rest covers that nodes which
     /// serve for others may share the same window with them.
-    double ExtraUsed = 0.5;
+    double UsedFixedShare = 0.5;
   };
 
-  explicit RepeatBudget(const Settings &settings) : Setup(settings) {}
+  explicit SharedRetryBudget(const Settings &settings) : Setup(settings) {}
 
   /// A request for the service came.
   void onRequest(const std::string &service, Instant now);
   /// Whether one more repeat may be sent; if so, it is counted.
-  bool spend(const std::string &service, Instant now);
+  bool tryConsume(const std::string &service, Instant now);
   /// Takes over other bounds; what is counted stays.
   void setBounds(const Settings &settings) { Setup = settings; }
   /// Part of the fixed number that is this node's, 0 to 1.
-  void setPart(double part) { Part = part; }
+  void setTrafficShare(double part) { Part = part; }
 
 private:
   static constexpr std::size_t SlotCount = 20;
--- a/Hemlockglade/Protocol/Message/CellMessages.h
+++ b/Hemlockglade/Protocol/Message/CellMessages.h
@@ -37,9 +37,9 @@
   double LinkMbps = 1000;
   /// It serves callers, or may have to at any moment, and has to be told at
   /// once of what engines hold and of what others send them.
-  bool Awake = false;
+  bool Active = false;
   MSGPACK_DEFINE(Node, Incarnation, CallerAddress, FailureDomain, Ready, Cores,
-                 LinkMbps, Awake)
+                 LinkMbps, Active)
 };
 
 /// A node in service.
@@ -65,8 +65,8 @@
   /// Some wait now.
   bool Waiting = false;
   /// Some wait because the engines that have the weights are at their limit.
-  bool Pressed = false;
-  MSGPACK_DEFINE(Service, Weights, Requests, Waiting, Pressed)
+  bool Congested = false;
+  MSGPACK_DEFINE(Service, Weights, Requests, Waiting, Congested)
 };
 
 /// A replica refused weights that it should have had.
@@ -125,7 +125,7 @@
 };
 
 /// What an owner has seen in the registry, for a node that need not look then.
-struct RegistryNews {
+struct RegistryUpdate {
   /// Complete from one position up to another; 0 if there is nothing to tell.
   std::uint64_t OperatorFrom = 0;
   std::uint64_t OperatorPosition = 0;
@@ -151,7 +151,7 @@
 };
 
 /// Node to owner, again and again on `/cell/NAME`.
-struct NodeBeat {
+struct NodeHeartbeat {
   MemberNotice Self;
   /// Own running requests at the cell's replicas, all of them.
   std::vector<RunningNotice> Running;
@@ -165,7 +165,7 @@
   /// Only `Sent` and `Uses` mean something: there was no time for the rest.
   bool Brief = false;
   /// Set if the node wants news of the registry.
-  RegistryPositions Knows;
+  RegistryPositions KnownPositions;
   /// What callers ask of the node, a second.
   double RequestsPerSecond = 0;
   double BytesPerSecond = 0;
@@ -174,8 +174,9 @@
   std::vector<CrashNotice> Crashes;
   /// When it was sent, by the node's own clock; 0 in a brief one.
   std::int64_t SentAtUs = 0;
-  MSGPACK_DEFINE(Self, Running, Demand, Refusals, Sent, Uses, Brief, Knows,
-                 RequestsPerSecond, BytesPerSecond, Crashes, SentAtUs)
+  MSGPACK_DEFINE(Self, Running, Demand, Refusals, Sent, Uses, Brief,
+                 KnownPositions, RequestsPerSecond, BytesPerSecond, Crashes,
+                 SentAtUs)
 };
 
 struct HeldNotice {
@@ -192,15 +193,15 @@
 struct ReplicaNotice {
   std::string Replica;
   /// All that it holds.
-  bool Whole = false;
+  bool Complete = false;
   std::vector<HeldNotice> Held;
   /// Weights that it no longer holds.
   std::vector<std::string> Dropped;
-  MSGPACK_DEFINE(Replica, Whole, Held, Dropped)
+  MSGPACK_DEFINE(Replica, Complete, Held, Dropped)
 };
 
 /// Owner to node, again and again on `/cell/NAME`.
-struct OwnerBeat {
+struct OwnerHeartbeat {
   /// Version of the lease row, and how long the lease lasts.
   std::uint64_t LeaseVersion = 0;
   std::int64_t RemainingUs = 0;
@@ -213,21 +214,21 @@
   std::vector<RunningNotice> Running;
   /// Which nodes serve callers, of each failure domain that the owner knows;
   /// sent when that has changed.
-  std::vector<DomainNotice> Rosters;
-  bool RostersChanged = false;
+  std::vector<DomainNotice> Entries;
+  bool EntriesChanged = false;
   /// Other cells and the text of their lease rows; sent to nodes of the owner's
   /// failure domain when they have changed, so that these need not read them.
   std::vector<std::pair<std::string, std::string>> Leases;
   /// Requests that other nodes sent since the last beat.
   std::vector<SentNotice> Sent;
-  RegistryNews News;
+  RegistryUpdate Update;
   /// Requests under which replicas ended, as far as the node has not been told.
   std::vector<CrashNotice> Crashes;
   /// `SentAtUs` of the node's last beat that the owner has taken, so that the
   /// node knows how long this one may have been on its way; 0 if there is none.
   std::int64_t AnswersUs = 0;
   MSGPACK_DEFINE(LeaseVersion, RemainingUs, Fence, Ordering, Replicas, Running,
-                 Rosters, RostersChanged, Leases, Sent, News, Crashes,
+                 Entries, EntriesChanged, Leases, Sent, Update, Crashes,
                  AnswersUs)
 };
 
@@ -244,15 +245,15 @@
   std::vector<std::pair<std::string, std::string>> Leases;
   /// Positions in the registry that all of this is complete up to; 0 where the
   /// node that tells does not know.
-  RegistryPositions Knows;
+  RegistryPositions KnownPositions;
   /// How long ago that was the registry's newest, as that node knows; 0 if the
   /// reply does not tell of it.
   std::int64_t OperatorAgeUs = 0;
   std::int64_t ReplicaAgeUs = 0;
   /// Requests under which replicas ended.
   std::vector<CrashNotice> Crashes;
-  MSGPACK_DEFINE(PlanText, Replicas, Versions, Leases, Knows, OperatorAgeUs,
-                 ReplicaAgeUs, Crashes)
+  MSGPACK_DEFINE(PlanText, Replicas, Versions, Leases, KnownPositions,
+                 OperatorAgeUs, ReplicaAgeUs, Crashes)
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Message/CrashMessages.cpp
+++ b/Hemlockglade/Protocol/Message/CrashMessages.cpp
@@ -4,9 +4,9 @@
 
 CrashNotice noticeOf(const CrashRecord &record, Instant now) {
   CrashNotice out{record.Key.text(), {}, -1};
-  for (const auto &it : record.Ends)
-    out.Ends.push_back({it.Life, (now - it.SentAt).count(),
-                        (now - it.EndedAt).count(), it.Domain});
+  for (const auto &it : record.Crashes)
+    out.Crashes.push_back({it.Incarnation, (now - it.SentAt).count(),
+                           (now - it.EndedAt).count(), it.Domain});
   if (record.ServedAt)
     out.ServedAgeUs = (now - *record.ServedAt).count();
   return out;
@@ -17,9 +17,9 @@
   if (!key)
     return std::nullopt;
   CrashRecord out{*key, {}, std::nullopt};
-  for (const auto &it : notice.Ends)
-    out.Ends.push_back({it.Life, now - Span(it.SentAgeUs),
-                        now - Span(it.EndedAgeUs), it.Domain});
+  for (const auto &it : notice.Crashes)
+    out.Crashes.push_back({it.Incarnation, now - Span(it.SentAgeUs),
+                           now - Span(it.EndedAgeUs), it.Domain});
   if (notice.ServedAgeUs >= 0)
     out.ServedAt = now - Span(notice.ServedAgeUs);
   return out;
--- a/Hemlockglade/Protocol/Message/QuotaMessages.cpp
+++ b/Hemlockglade/Protocol/Message/QuotaMessages.cpp
@@ -15,23 +15,24 @@
 
 } // namespace
 
-QuotaAskMessage messageOf(const QuotaAccount::Message &message) {
-  QuotaAskMessage out{message.Number, {}};
-  for (const auto &it : message.Asks)
-    out.Asks.push_back({it.Workspace, it.Needs, it.Ahead, it.Unused, it.Spent});
+QuotaRequestMessage messageOf(const QuotaClient::Message &message) {
+  QuotaRequestMessage out{message.Number, {}};
+  for (const auto &it : message.Requests)
+    out.Requests.push_back(
+        {it.Workspace, it.Requested, it.Ahead, it.Unused, it.Charged});
   return out;
 }
 
-std::vector<QuotaAsk> asksOf(const QuotaAskMessage &message) {
-  std::vector<QuotaAsk> out;
-  for (const auto &it : message.Asks) {
-    QuotaAsk ask{it.Workspace,
-                 {},
-                 unitsOf(it.Ahead),
-                 unitsOf(it.Unused),
-                 unitsOf(it.Spent)};
-    std::transform(it.Needs.begin(), it.Needs.end(),
-                   std::back_inserter(ask.Needs), unitsOf);
+std::vector<QuotaRequest> requestsOf(const QuotaRequestMessage &message) {
+  std::vector<QuotaRequest> out;
+  for (const auto &it : message.Requests) {
+    QuotaRequest ask{it.Workspace,
+                     {},
+                     unitsOf(it.Ahead),
+                     unitsOf(it.Unused),
+                     unitsOf(it.Charged)};
+    std::transform(it.Requested.begin(), it.Requested.end(),
+                   std::back_inserter(ask.Requested), unitsOf);
     out.push_back(std::move(ask));
   }
   return out;
@@ -41,15 +42,15 @@
                             std::span<const QuotaGrant> grants) {
   QuotaGrantMessage out{number, {}};
   for (const auto &it : grants)
-    out.Grants.push_back(
-        {it.Workspace, it.Kept, it.Passed, it.Ahead, it.EmptyFor.count()});
+    out.Grants.push_back({it.Workspace, it.Managed, it.GrantedCount, it.Ahead,
+                          it.EmptyFor.count()});
   return out;
 }
 
 std::vector<QuotaGrant> grantsOf(const QuotaGrantMessage &message) {
   std::vector<QuotaGrant> out;
   for (const auto &it : message.Grants)
-    out.push_back({it.Workspace, it.Kept, it.Passed, unitsOf(it.Ahead),
+    out.push_back({it.Workspace, it.Managed, it.GrantedCount, unitsOf(it.Ahead),
                    std::max(Span(0), Span(it.EmptyForUs))});
   return out;
 }
--- a/Hemlockglade/Protocol/Settings/DecisionSettings.cpp
+++ b/Hemlockglade/Protocol/Settings/DecisionSettings.cpp
@@ -10,7 +10,7 @@
 constexpr double MostRate = 1e6;
 
 void bindRoute(SchemaReader &map, ReplicaView::Settings &out) {
-  map.real("far_cost", out.FarCost, 0, MostCost);
+  map.real("far_cost", out.RemoteCost, 0, MostCost);
   map.real("prefix_gain", out.PrefixGain, 0, MostCost);
   map.real("failure_cost", out.FailureCost, 0, MostCost);
   map.real("overdue_cost", out.OverdueCost, 0, MostCost);
@@ -20,10 +20,10 @@
   map.milliseconds("late_idle_ms", out.LateIdle, Ms);
 }
 
-void bindDesk(SchemaReader &map, CellDesk::Settings &out) {
-  map.real("loads_per_rate", out.Pace.FirstPerRate, 0, MostRate);
-  map.real("loads_least", out.Pace.Least, 1, MostRate);
-  map.real("loads_rise_per_second", out.Pace.RisePerSecond, 0, 1);
+void bindDesk(SchemaReader &map, CellPlacement::Settings &out) {
+  map.real("loads_per_rate", out.Concurrency.FirstPerRate, 0, MostRate);
+  map.real("loads_least", out.Concurrency.Least, 1, MostRate);
+  map.real("loads_rise_per_second", out.Concurrency.RisePerSecond, 0, 1);
   map.number("loads_per_replica", out.LoadsPerReplica, {1, 1000});
   map.number("quick_memory", out.QuickMemory, {0, 100'000});
   map.real("quick_gain", out.QuickGain, 0, MostCost);
@@ -42,14 +42,14 @@
 }
 
 void bindExchange(SchemaReader &map, ExchangeSettings &out) {
-  map.real("hold_share", out.HoldShare, 0, 1);
-  map.real("patience_share", out.PatienceShare, 0, 1);
-  map.milliseconds("pressed_after_ms", out.PressedAfter, Ms);
-  map.real("timely_share", out.TimelyShare, 0, 1);
-  map.milliseconds("shed_rest_ms", out.ShedRest, Ms);
+  map.real("hold_share", out.MaxHoldShare, 0, 1);
+  map.real("patience_share", out.StreamHoldShare, 0, 1);
+  map.milliseconds("pressed_after_ms", out.CongestedAfter, Ms);
+  map.real("timely_share", out.OnTimeShare, 0, 1);
+  map.milliseconds("shed_rest_ms", out.ShedBackoff, Ms);
   map.real("slow_factor", out.SlowFactor, 1, MostCost);
   map.real("stall_factor", out.StallFactor, 1, MostCost);
-  map.milliseconds("least_stall_ms", out.LeastStall, Ms);
+  map.milliseconds("least_stall_ms", out.MinStallTime, Ms);
 }
 
 } // namespace
--- a/Hemlockglade/Protocol/Settings/DecisionSettings.h
+++ b/Hemlockglade/Protocol/Settings/DecisionSettings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 #include "Hemlockglade/Coordination/Route/ExchangeSettings.h"
 #include "Hemlockglade/Coordination/Route/ReplicaView.h"
 #include "Hemlockglade/Protocol/Settings/SchemaReader.h"
@@ -12,7 +12,7 @@
 /// switched off, to see what it is worth.
 struct DecisionSettings {
   ReplicaView::Settings Route;
-  CellDesk::Settings Desk;
+  CellPlacement::Settings Desk;
   ExchangeSettings Exchange;
 };
 
--- a/Hemlockglade/Protocol/Settings/GatewaySettings.h
+++ b/Hemlockglade/Protocol/Settings/GatewaySettings.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Quota/QuotaParts.h"
-#include "Hemlockglade/Coordination/Registry/LookPace.h"
+#include "Hemlockglade/Coordination/Quota/QuotaShares.h"
+#include "Hemlockglade/Coordination/Registry/RegistryPollSettings.h"
 #include "Hemlockglade/Protocol/Settings/DecisionSettings.h"
 #include "Hemlockglade/Protocol/Settings/SettingsFault.h"
 #include "Hemlockglade/State/Ids.h"
@@ -66,7 +66,9 @@
   DecisionSettings Decisions;
 
   /// How the registry is looked at to keep the bounds.
-  LookPace lookPace() const { return LookPace::within(PlanBound, DrainBound); }
+  RegistryPollSettings lookPace() const {
+    return RegistryPollSettings::forBounds(PlanBound, DrainBound);
+  }
 };
 
 /// Reads a settings file's text; `file` is the name that faults give.
--- a/Hemlockglade/State/Routing/CallerAccess.cpp
+++ b/Hemlockglade/State/Routing/CallerAccess.cpp
@@ -2,19 +2,19 @@
 
 namespace hemlockglade {
 
-CallerAccess accessOf(const RoutePlan &plan, std::string_view host,
-                      std::string_view path, std::string_view key) {
+CallerAccess resolveAccess(const RoutePlan &plan, std::string_view host,
+                           std::string_view path, std::string_view key) {
   using Denial = CallerAccess::Denial;
   CallerAccess out;
-  out.Way = plan.find(host, path);
-  if (!out.Way) {
+  out.MatchedRoute = plan.find(host, path);
+  if (!out.MatchedRoute) {
     out.Denied = Denial::NoRoute;
     return out;
   }
-  if (out.Way->Public || !plan.workspaces().required())
+  if (out.MatchedRoute->Public || !plan.workspaces().required())
     return out;
-  out.Space = plan.workspaces().find(key);
-  if (!out.Space)
+  out.CallerWorkspace = plan.workspaces().find(key);
+  if (!out.CallerWorkspace)
     out.Denied = key.empty() ? Denial::NoKey : Denial::UnknownKey;
   return out;
 }
--- a/Hemlockglade/State/Routing/CallerAccess.h
+++ b/Hemlockglade/State/Routing/CallerAccess.h
@@ -18,15 +18,15 @@
 
   Denial Denied = Denial::None;
   /// Set unless there is none; lives as long as the plan.
-  const Route *Way = nullptr;
+  const Route *MatchedRoute = nullptr;
   /// Workspace that the request counts for; none on routes that are open to
   /// all, and in plans without workspaces.
-  const Workspace *Space = nullptr;
+  const Workspace *CallerWorkspace = nullptr;
 };
 
 /// Finds route and workspace of a request. A missing route goes before a
 /// missing key, since the route says whether a key is needed.
-CallerAccess accessOf(const RoutePlan &plan, std::string_view host,
-                      std::string_view path, std::string_view key);
+CallerAccess resolveAccess(const RoutePlan &plan, std::string_view host,
+                           std::string_view path, std::string_view key);
 
 } // namespace hemlockglade
--- a/Hemlockglade/State/Routing/ReplicaRecord.h
+++ b/Hemlockglade/State/Routing/ReplicaRecord.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Hemlockglade/State/Ids.h"
-#include "Hemlockglade/State/Routing/ReplicaLife.h"
+#include "Hemlockglade/State/Routing/ReplicaIncarnation.h"
 
 #include <map>
 #include <memory>
@@ -41,7 +41,7 @@
 /// What the registry says of one start of a replica.
 struct ReplicaRecord {
   /// Which start of which replica this is.
-  ReplicaLife Life;
+  ReplicaIncarnation Incarnation;
   std::string Service;
   /// `ip:port`
   std::string Address;
@@ -50,7 +50,7 @@
   /// It leaves: no new work.
   bool Draining = false;
   /// Time until it is taken away whatever it runs; 0 if not announced.
-  Span LeavesIn{0};
+  Span TerminatesIn{0};
   /// How much longer it is slow after its start.
   Span ColdFor{0};
   /// What it holds, as of its last heartbeat.
--- a/Hemlockglade/State/Routing/Workspace.cpp
+++ b/Hemlockglade/State/Routing/Workspace.cpp
@@ -21,9 +21,10 @@
       if (isNew || at->second == index)
         continue;
       at->second = Nobody;
-      Faults.push_back(it.Of.Name + ": shares a key with another workspace");
+      Faults.push_back(it.Declared.Name +
+                       ": shares a key with another workspace");
     }
-    Spaces.push_back(std::move(it.Of));
+    Spaces.push_back(std::move(it.Declared));
   }
 }
 
--- a/Hemlockglade/State/Routing/Workspace.h
+++ b/Hemlockglade/State/Routing/Workspace.h
@@ -39,7 +39,7 @@
 
 /// A workspace as operators declare it.
 struct WorkspaceDeclaration {
-  Workspace Of;
+  Workspace Declared;
   std::vector<std::string> Keys;
 };
 
--- a/Programs/hemlockgladed/Admission.cpp
+++ b/Programs/hemlockgladed/Admission.cpp
@@ -17,10 +17,10 @@
 
 /// An asker's side of the stream.
 struct Asked {
-  std::shared_ptr<PendingAsks> Pending;
+  std::shared_ptr<PendingAdmissions> Pending;
   std::mutex Mutex;
   Admission::OnReply Reply;
-  PendingAsks::Ticket Ticket = 0;
+  PendingAdmissions::Ticket Ticket = 0;
 
   Admission::OnReply take() {
     std::lock_guard lock(Mutex);
@@ -29,9 +29,9 @@
   }
 };
 
-std::string reasonOf(AskFailure failure) {
-  return failure == AskFailure::DeadlinePassed ? "deadline-passed"
-                                               : "owner-lost";
+std::string reasonOf(AdmissionFailure failure) {
+  return failure == AdmissionFailure::DeadlinePassed ? "deadline-passed"
+                                                     : "owner-lost";
 }
 
 /// An owner's side of the stream.
@@ -80,7 +80,7 @@
   auto deadline =
       TimerService::now() + Span(request.DeadlineUs) + DeadlineGrace;
   asked->Ticket = Pending->add(request.Cell, owner.PeerAddress, deadline,
-                               [asked](AskFailure failure) {
+                               [asked](AdmissionFailure failure) {
                                  if (auto call = asked->take())
                                    call(refusal(reasonOf(failure)));
                                });
--- a/Programs/hemlockgladed/Admission.h
+++ b/Programs/hemlockgladed/Admission.h
@@ -55,7 +55,8 @@
 
   FindRunner Runner;
   FindOwner Owner;
-  std::shared_ptr<PendingAsks> Pending = std::make_shared<PendingAsks>();
+  std::shared_ptr<PendingAdmissions> Pending =
+      std::make_shared<PendingAdmissions>();
   PeerNet *Net = nullptr;
 };
 
--- a/Programs/hemlockgladed/CellRunnerConfig.cpp
+++ b/Programs/hemlockgladed/CellRunnerConfig.cpp
@@ -12,13 +12,13 @@
 
 /// Loads that this cell may start, without a holder of the load turn: each
 /// engine cell of the deployment has the same share of the weight store.
-TurnChanged shareOfLoads(const CatalogView &view, double loadsPerSecond) {
+LoadLimitChanged shareOfLoads(const CatalogView &view, double loadsPerSecond) {
   std::uint32_t cells = 0;
   view.all<ServiceConfig>().forEach([&cells](const ServiceConfig &service) {
     if (service.Kind == ServiceKind::Engine)
       cells += service.Cells;
   });
-  TurnChanged turn;
+  LoadLimitChanged turn;
   turn.LoadsPerSecond = loadsPerSecond / std::max(cells, 1U);
   return turn;
 }
--- a/Programs/hemlockgladed/ConfigLink.cpp
+++ b/Programs/hemlockgladed/ConfigLink.cpp
@@ -14,8 +14,8 @@
 
 ConfigLink::ConfigLink(PlatformClient &platform, const ConfigSettings &settings,
                        ConfigLinkHooks hooks)
-    : Hooks(std::move(hooks)),
-      Keeper(std::make_shared<ConfigKeeper>(settings, keeperHooks(platform))) {}
+    : Hooks(std::move(hooks)), Keeper(std::make_shared<ConfigReplicator>(
+                                   settings, keeperHooks(platform))) {}
 
 ConfigHooks ConfigLink::keeperHooks(PlatformClient &platform) {
   ConfigHooks hooks;
--- a/Programs/hemlockgladed/ConfigLink.h
+++ b/Programs/hemlockgladed/ConfigLink.h
@@ -28,7 +28,7 @@
   void round();
   /// The node at that peer address has this revision in force.
   void learn(Revision number, const std::string &address);
-  /// Takes changes to the table; see ConfigKeeper.
+  /// Takes changes to the table; see ConfigReplicator.
   void propose(ConfigProposal proposal, ConfigCallback done);
   /// Answers another node's stream.
   void serve(const std::shared_ptr<PeerStream> &stream);
@@ -45,7 +45,7 @@
 
   ConfigLinkHooks Hooks;
   PeerNet *Net = nullptr;
-  std::shared_ptr<ConfigKeeper> Keeper;
+  std::shared_ptr<ConfigReplicator> Keeper;
 };
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Exchange.cpp
+++ b/Programs/hemlockgladed/Exchange.cpp
@@ -290,7 +290,7 @@
   // An engine that can't go on with a stream may still have run it.
   if (Foreign || (Request.Resume && Status >= FirstError))
     return Outcome::Unknown;
-  AttemptSeen seen;
+  AttemptObservation seen;
   seen.MayHaveSent = result.MayHaveSent;
   seen.RefusedBeforeRunning = result.Whole && refusedBeforeRunning();
   seen.AnswerWhole = result.Whole && (seen.RefusedBeforeRunning || isWhole());
--- a/Programs/hemlockgladed/Exchange.h
+++ b/Programs/hemlockgladed/Exchange.h
@@ -50,7 +50,7 @@
   /// owner of the cell has been told already what runs.
   std::function<bool(const RegisteredRequest &)> Register;
   std::function<void(const RegisteredRequest &)> Unregister;
-  std::function<void(const ExchangeRequest &, ClaimBook::OnAnswer)> Claim;
+  std::function<void(const ExchangeRequest &, ClaimStore::OnAnswer)> Claim;
   /// Writes down how the request of a claimed key ended.
   std::function<void(const ClaimTicket &, Outcome)> RecordOutcome;
   std::function<RetryVerdict(const FailedAttempt &)> MayRetry;
--- a/Programs/hemlockgladed/Gateway/CellMember.cpp
+++ b/Programs/hemlockgladed/Gateway/CellMember.cpp
@@ -14,7 +14,7 @@
 CellMember::CellMember(Settings settings, Hooks hooks, ReplicaView &view,
                        PeerNet &net, PeerTraffic &traffic, EventLog &log)
     : Setup(std::move(settings)), Out(std::move(hooks)), View(view), Net(net),
-      Traffic(traffic), Log(log), Desk(Setup.Desk) {
+      Traffic(traffic), Log(log), Desk(Setup.Placement) {
   Lease = std::make_shared<CellLease>(
       Setup.Cell, Setup.Lease, Out.Table, [] { return TimerService::now(); },
       [this](LeaseChange change, const CellLease &lease) {
@@ -33,11 +33,12 @@
 
 void CellMember::tick() {
   bool follows = Out.Follows();
-  bool waits = !Out.Self().Awake;
+  bool waits = !Out.Self().Active;
   // Those in service look after the cells of other failure domains.
   if (!waits || Setup.Cell == Setup.FailureDomain || Lease->held()) {
-    Lease->tick(Setup.Reluctance + (waits ? Setup.StandbyReluctance : Span(0)),
-                waits ? Setup.StandbyLook + Setup.StandbySpread : Span(0));
+    Lease->tick(
+        Setup.TakeoverDelay + (waits ? Setup.StandbyTakeoverDelay : Span(0)),
+        waits ? Setup.StandbyReadInterval + Setup.StandbySpread : Span(0));
   }
   if (Lease->held())
     own();
@@ -48,20 +49,20 @@
   else if (!Owning && Owner)
     unfollow("stands by");
   auto now = TimerService::now();
-  if (Urgent || now - BeatAt >= Setup.BeatEvery)
-    beat();
+  if (Urgent || now - BeatAt >= Setup.HeartbeatInterval)
+    sendHeartbeat();
   if (Owning)
     broadcast();
 }
 
 void CellMember::leave() { Lease->release(); }
 
-bool CellMember::fresh() const {
+bool CellMember::isUpToDate() const {
   return Owning || TimerService::now() - OwnerHeardAt < Setup.MemberSilence;
 }
 
-const std::vector<DomainEntries> *CellMember::rosters() const {
-  return fresh() && (Owning || RostersTold) ? &Rosters : nullptr;
+const std::vector<DomainEntries> *CellMember::servingEntries() const {
+  return isUpToDate() && (Owning || RostersTold) ? &Rosters : nullptr;
 }
 
 Span CellMember::silentFor() const {
@@ -70,21 +71,21 @@
 }
 
 bool CellMember::canOrder() const {
-  return Owning ? Lease->mayOrder() : OwnerOrders && fresh();
+  return Owning ? Lease->mayOrder() : OwnerOrders && isUpToDate();
 }
 
 void CellMember::onVersion(const WeightsRef &weights, std::uint64_t version) {
   Desk.setVersion(weights, version);
 }
 
-void CellMember::onRegistryNews() {
+void CellMember::onRegistryUpdate() {
   if (!Owning)
     return;
   NewsDue = true;
   planSoon();
 }
 
-void CellMember::onCrashNews() {
+void CellMember::onCrashUpdate() {
   if (!Owning) {
     Urgent = true;
     return;
@@ -95,14 +96,14 @@
 
 void CellMember::takeCrashes(const std::vector<CrashNotice> &crashes,
                              std::uint64_t &told) {
-  bool upToDate = told == Out.Crashes->number();
-  Out.Crashes->onTold(crashes);
+  bool upToDate = told == Out.Crashes->revision();
+  Out.Crashes->onPeerRecords(crashes);
   if (upToDate)
-    told = Out.Crashes->number();
+    told = Out.Crashes->revision();
 }
 
 std::vector<CrashNotice> CellMember::crashesFor(std::uint64_t &told) const {
-  return Out.Crashes->since(std::exchange(told, Out.Crashes->number()));
+  return Out.Crashes->since(std::exchange(told, Out.Crashes->revision()));
 }
 
 void CellMember::onDemand(const std::string &service, const WeightsRef &weights,
@@ -115,15 +116,15 @@
     Urgent = true;
   notice.Waiting = notice.Waiting || waiting;
   if (Urgent)
-    beat();
+    sendHeartbeat();
 }
 
-void CellMember::onPressed(const std::string &service,
-                           const WeightsRef &weights) {
+void CellMember::onCongested(const std::string &service,
+                             const WeightsRef &weights) {
   auto &notice = Demand[{service, weights}];
   notice.Service = service;
   notice.Weights = weights.text();
-  notice.Pressed = true;
+  notice.Congested = true;
 }
 
 void CellMember::onSent(const std::string &replica, std::uint32_t tokens,
@@ -173,14 +174,14 @@
     onSentNotices(SelfFollower, std::exchange(Sent, {}));
     return tellFollowers();
   }
-  NodeBeat brief;
+  NodeHeartbeat brief;
   brief.Brief = true;
   brief.Sent = std::exchange(Sent, {});
   brief.Uses = std::exchange(Uses, {});
   sendToOwner(PeerMessage::NodeNotice, brief);
 }
 
-void CellMember::sendToOwner(PeerMessage kind, const NodeBeat &beat) {
+void CellMember::sendToOwner(PeerMessage kind, const NodeHeartbeat &beat) {
   if (!Owner)
     return;
   auto text = pack(beat);
@@ -193,8 +194,8 @@
   Refusals.push_back({replica, weights.text(), missing});
 }
 
-NodeBeat CellMember::takeBeat() {
-  NodeBeat out;
+NodeHeartbeat CellMember::takeBeat() {
+  NodeHeartbeat out;
   out.Self = Out.Self();
   out.SentAtUs = TimerService::now().count();
   for (const auto &[replica, n] : View.ownRunning(Setup.Cell))
@@ -203,7 +204,7 @@
     out.Demand.push_back(std::move(notice));
   out.Refusals = std::exchange(Refusals, {});
   out.Uses = std::exchange(Uses, {});
-  out.Knows = Out.Knows();
+  out.KnownPositions = Out.KnownPositions();
   auto load = Out.Load();
   out.RequestsPerSecond = load.Requests;
   out.BytesPerSecond = load.Bytes;
@@ -212,7 +213,7 @@
   return out;
 }
 
-void CellMember::beat() {
+void CellMember::sendHeartbeat() {
   Urgent = false;
   BeatAt = TimerService::now();
   if (Owning) {
@@ -244,7 +245,7 @@
   hooks.OnMessage = [this, alive = Alive, self](std::string_view message) {
     if (!*alive || self->lock() != Owner)
       return;
-    auto beat = unpack<OwnerBeat>(message);
+    auto beat = unpack<OwnerHeartbeat>(message);
     if (beat)
       onOwnerBeat(*beat);
     else
@@ -273,7 +274,7 @@
   // A new owner's first messages need not say which nodes serve; those that the
   // one before told of may be gone, itself among them.
   RostersTold = false;
-  Out.OnRosters();
+  Out.OnServingEntries();
   View.onOwnerLost(Setup.Cell);
   Log.write(LogClass::State, "owner-lost",
             {{"cell", Setup.Cell},
@@ -288,7 +289,7 @@
     held[WeightsRef::parse(it.Weights)] = {
         it.Version, it.ReadyInUs ? now + Span(it.ReadyInUs) : Instant{},
         it.Leaving};
-  if (notice.Whole)
+  if (notice.Complete)
     return View.onResidency(notice.Replica, std::move(held), now);
   std::vector<WeightsRef> dropped;
   for (const auto &it : notice.Dropped)
@@ -305,10 +306,10 @@
     Rosters.push_back(std::move(entries));
   }
   RostersTold = true;
-  Out.OnRosters();
+  Out.OnServingEntries();
 }
 
-void CellMember::onOwnerBeat(const OwnerBeat &beat) {
+void CellMember::onOwnerBeat(const OwnerHeartbeat &beat) {
   auto now = TimerService::now();
   if (now - OwnerHeardAt > OwnerSilence)
     Log.write(LogClass::State, "owner-heard",
@@ -317,19 +318,19 @@
                {"fence", beat.Fence}});
   OwnerHeardAt = now;
   OwnerOrders = beat.Ordering;
-  Lease->onHeard(beat.LeaseVersion, Span(beat.RemainingUs));
+  Lease->onHolderHeartbeat(beat.LeaseVersion, Span(beat.RemainingUs));
   for (const auto &it : beat.Replicas)
     onHoldings(it, now);
   for (const auto &it : beat.Sent)
-    View.onOtherSent(it.Replica, it.Tokens, now);
+    View.onSentElsewhere(it.Replica, it.Tokens, now);
   for (const auto &it : beat.Running)
-    View.onOthersRunning(it.Replica, it.Running, now);
+    View.onRunningElsewhere(it.Replica, it.Running, now);
   for (const auto &[cell, row] : beat.Leases)
     Out.OnLease(cell, row);
-  if (beat.RostersChanged)
-    onRosters(beat.Rosters);
-  Out.OnNews(beat.News,
-             beat.AnswersUs ? std::min(now, Span(beat.AnswersUs)) : LongAgo);
+  if (beat.EntriesChanged)
+    onRosters(beat.Entries);
+  Out.OnUpdate(beat.Update,
+               beat.AnswersUs ? std::min(now, Span(beat.AnswersUs)) : LongAgo);
   takeCrashes(beat.Crashes, OwnerToldCrashes);
   if (!beat.Replicas.empty())
     Out.OnChanged();
--- a/Programs/hemlockgladed/Gateway/CellMember.h
+++ b/Programs/hemlockgladed/Gateway/CellMember.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Entries/EntryBoard.h"
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Entries/ServingEntries.h"
 #include "Hemlockglade/Coordination/Orders/CellLease.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 #include "Hemlockglade/Coordination/Orders/HoldingsLog.h"
 #include "Hemlockglade/Coordination/Route/ReplicaView.h"
 #include "Hemlockglade/Protocol/Message/CellMessages.h"
 #include "Hemlockglade/State/Log/EventLog.h"
 #include "Hemlockglade/Transport/Peer/PeerNet.h"
 #include "Hemlockglade/Transport/Time/TimerService.h"
-#include "Programs/hemlockgladed/Gateway/CrashLink.h"
+#include "Programs/hemlockgladed/Gateway/CrashCoordinator.h"
 #include "Programs/hemlockgladed/Gateway/PeerTraffic.h"
 
 #include <unordered_map>
@@ -28,11 +28,11 @@
   struct Settings {
     std::string Cell;
     CellLease::Settings Lease;
-    CellDesk::Settings Desk;
+    CellPlacement::Settings Placement;
     /// How long a free lease is left to nodes that are nearer.
-    Span Reluctance{0};
+    Span TakeoverDelay{0};
     /// Time between two beats when there is nothing urgent.
-    Span BeatEvery = std::chrono::milliseconds(300);
+    Span HeartbeatInterval = std::chrono::milliseconds(300);
     /// Time that notices of sent requests, and an owner's of what replicas
     /// hold, are gathered. Shorter than what an engine needs for the shortest
     /// prompts, some 10 ms.
@@ -56,15 +56,15 @@
     /// How much longer a node that stands by leaves a free lease, and the look
     /// at its row, to those in service: few look, and others step in where
     /// these are gone.
-    Span StandbyReluctance = std::chrono::milliseconds(1500);
-    Span StandbyLook = std::chrono::milliseconds(2000);
+    Span StandbyTakeoverDelay = std::chrono::milliseconds(1500);
+    Span StandbyReadInterval = std::chrono::milliseconds(2000);
     /// This node's own addition to that, so that not all look together.
     Span StandbySpread{0};
-    EntryRoster::Settings Roster;
+    EntrySelector::Settings EntrySelection;
     /// How long a new owner names nobody: its nodes have yet to find it, and
     /// all callers of a failure domain would be sent to the few that have. What
     /// owners of other cells tell counts meanwhile.
-    Span RosterSettles = std::chrono::milliseconds(1000);
+    Span EntrySelectionDelay = std::chrono::milliseconds(1000);
   };
   struct Hooks {
     TableHooks Table;
@@ -80,19 +80,19 @@
     std::function<void(Span, std::function<void()>)> After;
     /// Up to where this node knows the registry, if this cell's owner is to
     /// tell it news, else zeros.
-    std::function<RegistryPositions()> Knows;
+    std::function<RegistryPositions()> KnownPositions;
     /// Other cells' lease rows as this node knows them, and as it is told.
     std::function<std::vector<std::pair<std::string, std::string>>()> Leases;
     std::function<void(const std::string &cell, const std::string &row)>
         OnLease;
     /// Which nodes serve has changed, or is not known any more.
-    std::function<void()> OnRosters;
-    std::function<RegistryNews(const RegistryPositions &known)> NewsSince;
+    std::function<void()> OnServingEntries;
+    std::function<RegistryUpdate(const RegistryPositions &known)> UpdateSince;
     /// The owner has told news; it sent them after that time of this node's
     /// clock.
-    std::function<void(const RegistryNews &, Instant sentAfter)> OnNews;
+    std::function<void(const RegistryUpdate &, Instant sentAfter)> OnUpdate;
     /// Requests that crash replicas, which nodes tell each other of.
-    CrashLink *Crashes = nullptr;
+    CrashCoordinator *Crashes = nullptr;
   };
 
   CellMember(Settings settings, Hooks hooks, ReplicaView &view, PeerNet &net,
@@ -104,14 +104,14 @@
   void onFollower(const std::shared_ptr<PeerStream> &stream);
   void onVersion(const WeightsRef &weights, std::uint64_t version);
   /// This node has seen something new in the registry.
-  void onRegistryNews();
+  void onRegistryUpdate();
   /// Something new is known of requests that crash replicas.
-  void onCrashNews();
+  void onCrashUpdate();
 
   /// A request for weights came here; `waiting` if no replica has them.
   void onDemand(const std::string &service, const WeightsRef &weights,
                 bool waiting);
-  void onPressed(const std::string &service, const WeightsRef &weights);
+  void onCongested(const std::string &service, const WeightsRef &weights);
   /// A request went from here to one of the cell's replicas.
   void onSent(const std::string &replica, std::uint32_t tokens,
               const WeightsRef &weights);
@@ -125,16 +125,16 @@
 
   /// Whether this cell can load weights now, as far as this node knows.
   bool canOrder() const;
-  bool fresh() const;
+  bool isUpToDate() const;
   /// Which nodes serve, as the present owner tells; none if it is silent.
-  const std::vector<DomainEntries> *rosters() const;
+  const std::vector<DomainEntries> *servingEntries() const;
   /// How long the owner has been silent, since the start if it never spoke.
   Span silentFor() const;
-  bool owning() const { return Owning; }
+  bool isOwner() const { return Owning; }
   const CellLease &lease() const { return *Lease; }
-  void onTold(const CellLeaseRow &row) { Lease->onTold(row); }
+  void onPeerRow(const CellLeaseRow &row) { Lease->onPeerRow(row); }
   /// Tells the owner at once what this node says of itself.
-  void beat();
+  void sendHeartbeat();
   const std::string &cell() const { return Setup.Cell; }
   std::uint64_t orders() const { return Orders; }
 
@@ -179,34 +179,34 @@
   void dropUses(Follower &follower);
   std::vector<UseNotice> allUses() const;
   void onSentNotices(std::uint64_t from, const std::vector<SentNotice> &sent);
-  NodeBeat takeBeat();
-  void onOwnerBeat(const OwnerBeat &beat);
+  NodeHeartbeat takeBeat();
+  void onOwnerBeat(const OwnerHeartbeat &beat);
   void onRosters(const std::vector<DomainNotice> &told);
   void onHoldings(const ReplicaNotice &notice, Instant now);
   void unfollow(std::string_view why);
-  void sendToOwner(PeerMessage kind, const NodeBeat &beat);
+  void sendToOwner(PeerMessage kind, const NodeHeartbeat &beat);
 
   // The owner's side.
   void own();
-  void carryOut(const DeskAction &action);
-  void onNodeBeat(std::uint64_t id, const NodeBeat &beat);
-  void takeDemand(const NodeBeat &beat, Instant now);
+  void carryOut(const PlacementAction &action);
+  void onNodeBeat(std::uint64_t id, const NodeHeartbeat &beat);
+  void takeDemand(const NodeHeartbeat &beat, Instant now);
   void broadcast();
   void sendTo(Follower &follower, PeerMessage kind, const std::string &text);
   /// All that a follower has not heard.
   void tell(std::uint64_t id, Follower &follower);
-  OwnerBeat beatFor(Follower &follower);
-  OwnerBeat emptyBeat() const;
+  OwnerHeartbeat beatFor(Follower &follower);
+  OwnerHeartbeat emptyBeat() const;
   void noteHoldings();
   std::vector<ReplicaNotice> holdingsSince(std::uint64_t number) const;
   void tellFollowers();
   Span flushEvery() const;
   Span planEvery() const;
-  void addNews(Follower &follower, OwnerBeat &beat);
+  void addNews(Follower &follower, OwnerHeartbeat &beat);
   /// Whether a node has been heard lately.
   bool heard(std::uint64_t id, const Follower &follower, Instant now) const;
   void chooseEntries(Instant now);
-  void addRosters(OwnerBeat &beat) const;
+  void addRosters(OwnerHeartbeat &beat) const;
   /// Followers that are told at once of what is sent and held.
   std::size_t toldAtOnce() const;
   void noteLeases();
@@ -226,7 +226,7 @@
   PeerTraffic &Traffic;
   EventLog &Log;
   std::shared_ptr<CellLease> Lease;
-  CellDesk Desk;
+  CellPlacement Desk;
   bool Owning = false;
   /// What the desk was told of last.
   std::uint64_t DeskRevision = 0;
@@ -257,7 +257,7 @@
   std::map<std::uint64_t, Follower> Followers;
   std::uint64_t NextFollower = 1;
   /// Who serves each failure domain whose nodes follow this one.
-  std::map<std::string, EntryRoster> Choosers;
+  std::map<std::string, EntrySelector> Choosers;
   std::uint64_t RostersRevision = 1;
   /// A node has come, gone or changed what it says of itself.
   bool NodesChanged = false;
--- a/Programs/hemlockgladed/Gateway/CellMemberOwner.cpp
+++ b/Programs/hemlockgladed/Gateway/CellMemberOwner.cpp
@@ -10,10 +10,10 @@
   return a.Node != b.Node || a.Incarnation != b.Incarnation ||
          a.CallerAddress != b.CallerAddress ||
          a.FailureDomain != b.FailureDomain || a.Ready != b.Ready ||
-         a.Awake != b.Awake;
+         a.Active != b.Active;
 }
 
-HostMeans meansOf(const MemberNotice &node) {
+HostCapacity meansOf(const MemberNotice &node) {
   return {node.Cores, node.LinkMbps};
 }
 
@@ -73,17 +73,17 @@
     }
   }
   View.onOwnerLost(Setup.Cell);
-  Out.OnRosters();
+  Out.OnServingEntries();
 }
 
-void CellMember::carryOut(const DeskAction &action) {
+void CellMember::carryOut(const PlacementAction &action) {
   auto records = View.replicasIn(Setup.Cell);
   auto it = std::find_if(records.begin(), records.end(), [&](const auto &r) {
-    return r->Life.text() == action.Replica;
+    return r->Incarnation.text() == action.Replica;
   });
   if (it == records.end())
     return;
-  if (action.What == DeskAction::Kind::Report) {
+  if (action.Type == PlacementAction::Kind::Report) {
     Out.Engines.Report(**it, [this, alive = Alive,
                               replica = action.Replica](const auto &report) {
       if (*alive)
@@ -138,7 +138,7 @@
     auto it = *alive ? Followers.find(id) : Followers.end();
     if (it == Followers.end())
       return;
-    auto beat = unpack<NodeBeat>(message);
+    auto beat = unpack<NodeHeartbeat>(message);
     if (beat)
       onNodeBeat(id, *beat);
     else
@@ -156,7 +156,7 @@
   };
 }
 
-void CellMember::onNodeBeat(std::uint64_t id, const NodeBeat &beat) {
+void CellMember::onNodeBeat(std::uint64_t id, const NodeHeartbeat &beat) {
   auto now = TimerService::now();
   auto &follower = Followers[id];
   follower.BeatAt = now;
@@ -167,14 +167,14 @@
   follower.SentAtUs = beat.SentAtUs;
   takeCrashes(beat.Crashes, follower.ToldCrashes);
   follower.Load = {beat.RequestsPerSecond, beat.BytesPerSecond};
-  if (beat.Knows.Operator && beat.Knows.Replica) {
+  if (beat.KnownPositions.Operator && beat.KnownPositions.Replica) {
     auto &knows = follower.Knows;
-    knows.Operator = std::max(knows.Operator, beat.Knows.Operator);
-    knows.Replica = std::max(knows.Replica, beat.Knows.Replica);
+    knows.Operator = std::max(knows.Operator, beat.KnownPositions.Operator);
+    knows.Replica = std::max(knows.Replica, beat.KnownPositions.Replica);
   } else {
     follower.Knows = {};
   }
-  bool woke = beat.Self.Awake && !follower.Self.Awake;
+  bool woke = beat.Self.Active && !follower.Self.Active;
   if (follower.Self != beat.Self) {
     follower.Self = beat.Self;
     NodesChanged = true;
@@ -188,22 +188,22 @@
     tell(id, follower);
 }
 
-void CellMember::takeDemand(const NodeBeat &beat, Instant now) {
+void CellMember::takeDemand(const NodeHeartbeat &beat, Instant now) {
   bool waits = false;
   for (const auto &it : beat.Demand) {
     auto weights = WeightsRef::parse(it.Weights);
     if (it.Requests)
       Desk.onDemand(it.Service, weights, it.Requests, now);
     if (it.Waiting)
-      Desk.onWant(it.Service, weights, now);
-    if (it.Pressed)
-      Desk.onPressed(it.Service, weights, now);
+      Desk.onWaiting(it.Service, weights, now);
+    if (it.Congested)
+      Desk.onCongested(it.Service, weights, now);
     waits = waits || it.Waiting;
   }
   for (const auto &it : beat.Refusals) {
     auto weights = WeightsRef::parse(it.Weights);
     // The node has struck it out of its view, whatever turns out to be true.
-    Held.touch(it.Replica, weights);
+    Held.markChanged(it.Replica, weights);
     if (it.Missing)
       Desk.onMissing(it.Replica, weights, now);
     else
@@ -244,7 +244,7 @@
 }
 
 void CellMember::chooseEntries(Instant now) {
-  if (now - OwnsSince < Setup.RosterSettles)
+  if (now - OwnsSince < Setup.EntrySelectionDelay)
     return;
   NodesChanged = false;
   struct Domain {
@@ -262,7 +262,8 @@
   }
   std::vector<DomainEntries> chosen;
   for (const auto &[name, domain] : domains) {
-    auto &chooser = Choosers.try_emplace(name, Setup.Roster).first->second;
+    auto &chooser =
+        Choosers.try_emplace(name, Setup.EntrySelection).first->second;
     chosen.push_back({name, chooser.choose(domain.Ready, domain.Load, now)});
   }
   if (chosen == Rosters)
@@ -279,7 +280,7 @@
                              domains[it.FailureDomain].Ready.size())},
                {"requests_per_s", domains[it.FailureDomain].Load.Requests},
                {"bytes_per_s", domains[it.FailureDomain].Load.Bytes}});
-  Out.OnRosters();
+  Out.OnServingEntries();
 }
 
 void CellMember::noteLeases() {
@@ -293,7 +294,7 @@
 std::size_t CellMember::toldAtOnce() const {
   std::size_t out = 0;
   for (const auto &[id, follower] : Followers)
-    out += id != SelfFollower && follower.Self.Awake ? 1 : 0;
+    out += id != SelfFollower && follower.Self.Active ? 1 : 0;
   return out;
 }
 
@@ -316,7 +317,7 @@
   for (const auto &it : sent) {
     SentToTell.emplace_back(from, it);
     if (from != SelfFollower)
-      View.onOtherSent(it.Replica, it.Tokens, now);
+      View.onSentElsewhere(it.Replica, it.Tokens, now);
   }
   flushSoon();
 }
@@ -325,14 +326,14 @@
   if (NotedRevision == Desk.revision())
     return;
   NotedRevision = Desk.revision();
-  auto before = Held.number();
+  auto before = Held.revision();
   for (const auto &replica : Desk.replicas()) {
     const auto &held = Desk.residency(replica);
-    if (Held.note(replica, held))
+    if (Held.update(replica, held))
       View.onResidency(replica, held, TimerService::now());
   }
-  Held.close();
-  if (Held.number() == before)
+  Held.commit();
+  if (Held.revision() == before)
     return;
   flushSoon();
   Out.OnChanged();
@@ -343,7 +344,7 @@
   auto now = TimerService::now();
   std::vector<ReplicaNotice> out;
   for (const auto &change : Held.since(number)) {
-    ReplicaNotice notice{change.Replica, change.Whole, {}, {}};
+    ReplicaNotice notice{change.Replica, change.Complete, {}, {}};
     for (const auto &[weights, at] : change.Held)
       notice.Held.push_back({weights.text(), at.Version,
                              std::max(Span(0), at.ReadyAt - now).count(),
@@ -355,8 +356,8 @@
   return out;
 }
 
-OwnerBeat CellMember::emptyBeat() const {
-  OwnerBeat out;
+OwnerHeartbeat CellMember::emptyBeat() const {
+  OwnerHeartbeat out;
   out.LeaseVersion = Lease->version();
   out.RemainingUs = Lease->remaining().count();
   out.Fence = Lease->fence();
@@ -371,11 +372,11 @@
   std::map<std::uint64_t, std::string> packed;
   for (auto &[id, follower] : Followers) {
     bool own = std::exchange(follower.HasSent, false);
-    bool behind = follower.ToldHoldings < Held.number();
-    bool waits = id == SelfFollower || !follower.Self.Awake;
+    bool behind = follower.ToldHoldings < Held.revision();
+    bool waits = id == SelfFollower || !follower.Self.Active;
     if (waits || (sent.empty() && !behind))
       continue;
-    auto told = std::exchange(follower.ToldHoldings, Held.number());
+    auto told = std::exchange(follower.ToldHoldings, Held.revision());
     auto &same = packed[told];
     if (!own && !same.empty()) {
       sendTo(follower, PeerMessage::OwnerNotice, same);
@@ -393,12 +394,12 @@
   }
 }
 
-OwnerBeat CellMember::beatFor(Follower &follower) {
+OwnerHeartbeat CellMember::beatFor(Follower &follower) {
   auto out = emptyBeat();
-  if (!follower.Self.Awake)
+  if (!follower.Self.Active)
     return out;
   out.Replicas =
-      holdingsSince(std::exchange(follower.ToldHoldings, Held.number()));
+      holdingsSince(std::exchange(follower.ToldHoldings, Held.revision()));
   for (const auto &replica : Desk.replicas()) {
     auto total = TotalRunning.find(replica);
     auto own = follower.Running.find(replica);
@@ -413,21 +414,21 @@
   return out;
 }
 
-void CellMember::addNews(Follower &follower, OwnerBeat &beat) {
+void CellMember::addNews(Follower &follower, OwnerHeartbeat &beat) {
   if (!follower.Knows.Operator || !follower.Knows.Replica)
     return;
-  beat.News = Out.NewsSince(follower.Knows);
+  beat.Update = Out.UpdateSince(follower.Knows);
   auto &knows = follower.Knows;
-  knows.Operator = std::max(knows.Operator, beat.News.OperatorPosition);
-  knows.Replica = std::max(knows.Replica, beat.News.ReplicaPosition);
+  knows.Operator = std::max(knows.Operator, beat.Update.OperatorPosition);
+  knows.Replica = std::max(knows.Replica, beat.Update.ReplicaPosition);
 }
 
 bool CellMember::isBetterOwner(const MemberNotice &member) const {
   bool near = Setup.Cell == Setup.FailureDomain;
   if (!member.Ready || member.FailureDomain != Setup.Cell)
     return false;
-  auto own = strengthOf(meansOf(Out.Self()));
-  return !near || strengthOf(meansOf(member)) >= MuchStronger * own;
+  auto own = relativeCapacity(meansOf(Out.Self()));
+  return !near || relativeCapacity(meansOf(member)) >= MuchStronger * own;
 }
 
 void CellMember::handOverIfBetter(Instant now) {
@@ -459,7 +460,7 @@
 
 void CellMember::broadcast() {
   auto now = TimerService::now();
-  bool due = now - BroadcastAt >= Setup.BeatEvery;
+  bool due = now - BroadcastAt >= Setup.HeartbeatInterval;
   auto rosters = RostersRevision;
   if (due || NodesChanged)
     chooseEntries(now);
@@ -506,13 +507,13 @@
   follower.Stream->send(text);
 }
 
-void CellMember::addRosters(OwnerBeat &beat) const {
-  beat.RostersChanged = true;
+void CellMember::addRosters(OwnerHeartbeat &beat) const {
+  beat.EntriesChanged = true;
   for (const auto &domain : Rosters) {
     DomainNotice notice{domain.FailureDomain, {}};
     for (const auto &it : domain.Entries)
       notice.Entries.push_back({it.Node, it.CallerAddress});
-    beat.Rosters.push_back(std::move(notice));
+    beat.Entries.push_back(std::move(notice));
   }
 }
 
--- a/Programs/hemlockgladed/Gateway/CrashLink.cpp
+++ b/Programs/hemlockgladed/Gateway/CrashCoordinator.cpp
@@ -1,6 +1,6 @@
-#include "Programs/hemlockgladed/Gateway/CrashLink.h"
+#include "Programs/hemlockgladed/Gateway/CrashCoordinator.h"
 
-#include "Hemlockglade/Coordination/Crash/CrashNotes.h"
+#include "Hemlockglade/Coordination/Crash/CrashRowFormat.h"
 #include "Hemlockglade/Transport/Time/TimerService.h"
 
 namespace hemlockglade {
@@ -17,131 +17,133 @@
 
 BrokenAttempt lostNow(const ReplicaRecord &replica, const RequestKey &key,
                       Instant sentAt, std::optional<Instant> beganAt) {
-  return {key,    replica.Life, replica.FailureDomain,
-          sentAt, beganAt,      TimerService::now()};
+  return {key,     replica.Incarnation, replica.FailureDomain, sentAt,
+          beganAt, TimerService::now()};
 }
 
 } // namespace
 
-void CrashLink::onBroken(const ReplicaRecord &replica, const RequestKey &key,
-                         Instant sentAt, std::optional<Instant> beganAt) {
-  take(replica.Life.text(),
+void CrashCoordinator::onBroken(const ReplicaRecord &replica,
+                                const RequestKey &key, Instant sentAt,
+                                std::optional<Instant> beganAt) {
+  take(replica.Incarnation.text(),
        Watch.onBroken(lostNow(replica, key, sentAt, beganAt)));
-  if (Watch.wantsLook(replica.Life))
+  if (Watch.needsProbe(replica.Incarnation))
     look(replica, false);
 }
 
-void CrashLink::onGivenUp(const ReplicaRecord &replica, const RequestKey &key,
-                          Instant sentAt, std::optional<Instant> beganAt) {
-  take(replica.Life.text(),
+void CrashCoordinator::onGivenUp(const ReplicaRecord &replica,
+                                 const RequestKey &key, Instant sentAt,
+                                 std::optional<Instant> beganAt) {
+  take(replica.Incarnation.text(),
        Watch.onBroken(lostNow(replica, key, sentAt, beganAt)));
-  if (Watch.wantsLook(replica.Life))
+  if (Watch.needsProbe(replica.Incarnation))
     lookLater(replica);
 }
 
-void CrashLink::look(const ReplicaRecord &replica, bool again) {
+void CrashCoordinator::look(const ReplicaRecord &replica, bool again) {
   Out.Probe(replica.Address,
             [this, alive = Alive, replica, again](Listening how) {
               if (!*alive || how == Listening::Unknown)
                 return;
               if (how == Listening::Yes) {
-                Watch.onListening(replica.Life);
-                if (!again && Watch.wantsLook(replica.Life))
+                Watch.onListening(replica.Incarnation);
+                if (!again && Watch.needsProbe(replica.Incarnation))
                   lookLater(replica);
                 return;
               }
               ++Ended;
-              onEnded(replica.Life);
+              onEnded(replica.Incarnation);
             });
 }
 
-void CrashLink::lookLater(const ReplicaRecord &replica) {
+void CrashCoordinator::lookLater(const ReplicaRecord &replica) {
   Out.After(LookAgainAfter, [this, alive = Alive, replica] {
     if (*alive)
       look(replica, true);
   });
 }
 
-void CrashLink::onEnded(const ReplicaLife &life) {
+void CrashCoordinator::onEnded(const ReplicaIncarnation &life) {
   take(life.text(), Watch.onEnded(life, TimerService::now()));
 }
 
-void CrashLink::onGone(const std::string &id) {
-  take(id, Watch.onGone(id, TimerService::now()));
+void CrashCoordinator::onRemoved(const std::string &id) {
+  take(id, Watch.onRemoved(id, TimerService::now()));
 }
 
-void CrashLink::take(std::string_view replica,
-                     const std::vector<SuspectEnd> &ends) {
+void CrashCoordinator::take(std::string_view replica,
+                            const std::vector<SuspectCrash> &ends) {
   auto now = TimerService::now();
   bool news = false;
   for (const auto &it : ends) {
     bool wasBarred = Book.barredFor(it.Key, now).has_value();
-    if (!Book.onEnd(it.Key, it.End, now))
+    if (!Book.onEnd(it.Key, it.Crash, now))
       continue;
     news = true;
     Log.write(LogClass::State, "ended-under",
               {{"key", it.Key.text()},
                {"replica", replica},
-               {"sent_ms_ago", now - it.End.SentAt},
-               {"ended_ms_ago", now - it.End.EndedAt},
+               {"sent_ms_ago", now - it.Crash.SentAt},
+               {"ended_ms_ago", now - it.Crash.EndedAt},
                {"suspects", static_cast<std::uint64_t>(ends.size())},
-               {"ends", static_cast<std::uint64_t>(Book.endsOf(it.Key))}});
+               {"ends", static_cast<std::uint64_t>(Book.crashesOf(it.Key))}});
     note(it.Key, wasBarred, "seen here");
   }
   if (news)
-    Out.OnNews();
+    Out.OnUpdate();
 }
 
-void CrashLink::note(const RequestKey &key, bool wasBarred,
-                     std::string_view from) {
+void CrashCoordinator::note(const RequestKey &key, bool wasBarred,
+                            std::string_view from) {
   auto barred = Book.barredFor(key, TimerService::now());
   if (barred.has_value() == wasBarred)
     return;
   Log.write(LogClass::State, barred ? "request-barred" : "request-let-go",
             {{"key", key.text()},
              {"from", from},
-             {"ends", static_cast<std::uint64_t>(Book.endsOf(key))},
+             {"ends", static_cast<std::uint64_t>(Book.crashesOf(key))},
              {"for_ms", barred.value_or(Span(0))}});
   if (barred)
     Out.OnBarred(key);
 }
 
-void CrashLink::onServed(const RequestKey &key) {
+void CrashCoordinator::onServed(const RequestKey &key) {
   auto now = TimerService::now();
-  auto ends = Book.endsOf(key);
+  auto ends = Book.crashesOf(key);
   if (!Book.onServed(key, now))
     return;
   Log.write(LogClass::State, "request-cleared",
             {{"key", key.text()},
              {"why", "it ran to its end"},
              {"ends", static_cast<std::uint64_t>(ends)}});
-  Out.OnNews();
+  Out.OnUpdate();
 }
 
-void CrashLink::onSent(const RequestKey &key) {
+void CrashCoordinator::onSent(const RequestKey &key) {
   Book.onSent(key, TimerService::now());
 }
 
-std::optional<Span> CrashLink::barredFor(const RequestKey &key) const {
+std::optional<Span> CrashCoordinator::barredFor(const RequestKey &key) const {
   return Book.barredFor(key, TimerService::now());
 }
 
-void CrashLink::takeRecords(const std::vector<CrashRecord> &records,
-                            std::string_view from) {
+void CrashCoordinator::takeRecords(const std::vector<CrashRecord> &records,
+                                   std::string_view from) {
   auto now = TimerService::now();
   bool news = false;
   for (const auto &it : records) {
     bool wasBarred = Book.barredFor(it.Key, now).has_value();
-    if (!Book.onTold(it, now))
+    if (!Book.merge(it, now))
       continue;
     news = true;
     note(it.Key, wasBarred, from);
   }
   if (news)
-    Out.OnNews();
+    Out.OnUpdate();
 }
 
-void CrashLink::onTold(const std::vector<CrashNotice> &told) {
+void CrashCoordinator::onPeerRecords(const std::vector<CrashNotice> &told) {
   auto now = TimerService::now();
   std::vector<CrashRecord> records;
   for (const auto &it : told)
@@ -150,7 +152,7 @@
   takeRecords(records, "told by a node");
 }
 
-std::vector<CrashNotice> CrashLink::since(std::uint64_t number) const {
+std::vector<CrashNotice> CrashCoordinator::since(std::uint64_t number) const {
   auto now = TimerService::now();
   std::vector<CrashNotice> out;
   for (const auto &it : Book.since(number))
@@ -158,22 +160,23 @@
   return out;
 }
 
-std::string CrashLink::notes() const {
+std::string CrashCoordinator::notes() const {
   auto records = Book.since(0);
   std::erase_if(records, [this](const auto &it) {
-    return Book.endsOf(it.Key) < NotedEnds;
+    return Book.crashesOf(it.Key) < NotedEnds;
   });
-  return writeCrashNotes(records, MostNotes, TimerService::now());
+  return encodeCrashRecords(records, MostNotes, TimerService::now());
 }
 
-void CrashLink::onNotes(const std::string &notes) {
-  takeRecords(readCrashNotes(notes, TimerService::now()), "kept with a lease");
+void CrashCoordinator::onNotes(const std::string &notes) {
+  takeRecords(decodeCrashRecords(notes, TimerService::now()),
+              "kept with a lease");
 }
 
-void CrashLink::tidy() {
+void CrashCoordinator::removeExpired() {
   auto now = TimerService::now();
-  Watch.tidy(now);
-  Book.tidy(now);
+  Watch.removeExpired(now);
+  Book.removeExpired(now);
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/CrashLink.h
+++ b/Programs/hemlockgladed/Gateway/CrashCoordinator.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Crash/EndWatch.h"
+#include "Hemlockglade/Coordination/Crash/ReplicaEndDetector.h"
 #include "Hemlockglade/Protocol/Message/CrashMessages.h"
 #include "Hemlockglade/State/Log/EventLog.h"
 #include "Hemlockglade/State/Routing/ReplicaRecord.h"
@@ -11,7 +11,7 @@
 /// A node's part in finding requests that crash replicas: looks at replicas
 /// whose connections broke, keeps the book, and tells other nodes through the
 /// owners of cells.
-class CrashLink {
+class CrashCoordinator {
 public:
   struct Hooks {
     /// Whether a process listens at a replica's address.
@@ -20,12 +20,13 @@
         Probe;
     std::function<void(Span, std::function<void()>)> After;
     /// There is something to tell other nodes.
-    std::function<void()> OnNews;
+    std::function<void()> OnUpdate;
     /// A request is barred from now on.
     std::function<void(const RequestKey &key)> OnBarred;
   };
 
-  CrashLink(Hooks hooks, EventLog &log) : Out(std::move(hooks)), Log(log) {}
+  CrashCoordinator(Hooks hooks, EventLog &log)
+      : Out(std::move(hooks)), Log(log) {}
 
   /// An attempt at a replica broke off.
   void onBroken(const ReplicaRecord &replica, const RequestKey &key,
@@ -35,22 +36,22 @@
                  Instant sentAt, std::optional<Instant> beganAt);
   /// A replica's life is over, as the registry tells, or another one that
   /// answers at its address.
-  void onEnded(const ReplicaLife &life);
+  void onEnded(const ReplicaIncarnation &life);
   /// The registry has it no more.
-  void onGone(const std::string &id);
+  void onRemoved(const std::string &id);
   /// A request ran to its end.
   void onServed(const RequestKey &key);
   void onSent(const RequestKey &key);
   /// For how long a request must not be sent, if it is barred.
   std::optional<Span> barredFor(const RequestKey &key) const;
   /// This node's turn, of so many, at trying barred requests.
-  void setTurn(std::size_t turn, std::size_t nodes) {
-    Book.setTurn(turn, nodes);
+  void setTrialSlot(std::size_t turn, std::size_t nodes) {
+    Book.setTrialSlot(turn, nodes);
   }
 
   /// What other nodes tell.
-  void onTold(const std::vector<CrashNotice> &told);
-  std::uint64_t number() const { return Book.number(); }
+  void onPeerRecords(const std::vector<CrashNotice> &told);
+  std::uint64_t revision() const { return Book.revision(); }
   std::vector<CrashNotice> since(std::uint64_t number) const;
   /// What has to outlast all nodes, as a word for a row of the table.
   std::string notes() const;
@@ -59,13 +60,13 @@
   std::size_t suspects() const { return Book.suspects(); }
   std::size_t barred() const { return Book.barred(); }
   std::uint64_t ended() const { return Ended; }
-  void tidy();
+  void removeExpired();
 
 private:
   /// Looks whether a process listens at the replica's address.
   void look(const ReplicaRecord &replica, bool again);
   void lookLater(const ReplicaRecord &replica);
-  void take(std::string_view replica, const std::vector<SuspectEnd> &ends);
+  void take(std::string_view replica, const std::vector<SuspectCrash> &ends);
   void takeRecords(const std::vector<CrashRecord> &records,
                    std::string_view from);
   /// Logs what became of a request, and tells if it is barred from now on.
@@ -73,8 +74,8 @@
 
   Hooks Out;
   EventLog &Log;
-  EndWatch Watch;
-  CrashBook Book;
+  ReplicaEndDetector Watch;
+  CrashTracker Book;
   std::uint64_t Ended = 0;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
--- a/Programs/hemlockgladed/Gateway/Gateway.cpp
+++ b/Programs/hemlockgladed/Gateway/Gateway.cpp
@@ -49,10 +49,10 @@
 constexpr auto StartingRetry = std::chrono::milliseconds(300);
 constexpr auto AwayRetry = std::chrono::milliseconds(2000);
 
-RepeatBudget::Settings budgetOf(const GatewaySettings &settings) {
-  RepeatBudget::Settings out;
-  out.Share = settings.RepeatShare;
-  out.Extra = settings.RepeatExtra;
+SharedRetryBudget::Settings budgetOf(const GatewaySettings &settings) {
+  SharedRetryBudget::Settings out;
+  out.RetriesPerRequest = settings.RepeatShare;
+  out.FixedRetries = settings.RepeatExtra;
   out.Window = settings.RepeatWindow;
   return out;
 }
@@ -90,7 +90,7 @@
         constexpr double EndShare = 0.84;
         out.OldVersionEnd = scaled(Settings.VersionBound, EndShare);
         constexpr double LapseShare = 0.85;
-        out.LapseGrace = Span(static_cast<std::int64_t>(
+        out.ExpiryGrace = Span(static_cast<std::int64_t>(
             LapseShare * static_cast<double>(Settings.DrainBound.count())));
         return out;
       }()),
@@ -103,7 +103,7 @@
 
 Gateway::~Gateway() {
   for (const auto &it : Exchanges)
-    it->cut();
+    it->abort();
 }
 
 ExchangeContext Gateway::exchangeContext() {
@@ -119,23 +119,23 @@
       },
       [this](const std::string &service, const WeightsRef &weights) {
         if (auto *home = homeOf(weights))
-          home->onPressed(service, weights);
+          home->onCongested(service, weights);
       },
       [this](const ReplicaRecord &replica, const auto &weights, bool missing) {
         auto it = Cells.find(replica.FailureDomain);
         if (it != Cells.end())
-          it->second->onRefusal(replica.Life.text(), weights, missing);
+          it->second->onRefusal(replica.Incarnation.text(), weights, missing);
       },
       [this](const ReplicaRecord &replica, std::uint32_t tokens,
              const WeightsRef &weights) {
         auto it = Cells.find(replica.FailureDomain);
         if (it != Cells.end())
-          it->second->onSent(replica.Life.text(), tokens, weights);
+          it->second->onSent(replica.Incarnation.text(), tokens, weights);
       },
       [this](const ReplicaRecord &replica, const WeightsRef &weights) {
         auto it = Cells.find(replica.FailureDomain);
         if (it != Cells.end())
-          it->second->onDone(replica.Life.text(), weights);
+          it->second->onDone(replica.Incarnation.text(), weights);
       },
       [this] {
         return std::any_of(Cells.begin(), Cells.end(), [](const auto &it) {
@@ -151,21 +151,21 @@
 void Gateway::start() {
   join();
   listen();
-  RegistryWatch::Hooks hooks;
+  RegistryWatcher::Hooks hooks;
   hooks.OnOperator = [this](const auto &changes) { onOperator(changes); };
   hooks.OnReplicas = [this](const auto &changes, bool unreachable) {
     onReplicas(changes, unreachable);
   };
-  hooks.Tells = [this] { return ownsCells(); };
+  hooks.InformsPeers = [this] { return ownsCells(); };
   hooks.StandsBy = [this] { return !Awake; };
-  hooks.OnNews = [this] {
+  hooks.OnUpdate = [this] {
     for (auto &[name, cell] : Cells)
-      cell->onRegistryNews();
+      cell->onRegistryUpdate();
   };
-  RegistryWatch::Settings watch;
-  watch.Pace = Settings.lookPace();
-  Watch = std::make_unique<RegistryWatch>(Timers, Port.Registry, watch,
-                                          std::move(hooks), Log);
+  RegistryWatcher::Settings watch;
+  watch.Poll = Settings.lookPace();
+  Watch = std::make_unique<RegistryWatcher>(Timers, Port.Registry, watch,
+                                            std::move(hooks), Log);
   bool first = strong() || isSeed() || Settings.Seeds.empty();
   Watch->start(first ? Span(0) : Span(FirstLookAfter));
   askPeer();
@@ -188,7 +188,7 @@
   Peers =
       std::make_unique<PeerNet>(Context, Settings.Address, Settings.PeerPort,
                                 [this](const auto &stream) { onPeer(stream); });
-  Quotas.join(*Peers);
+  Quotas.attach(*Peers);
   std::uint32_t turn = 0;
   for (const auto &cell : Settings.FailureDomains) {
     CellMember::Settings setup;
@@ -199,11 +199,11 @@
     setup.Lease.Address =
         Settings.Address + ":" + std::to_string(Peers->port());
     setup.Lease.Handover = Settings.Handover;
-    setup.Desk = Settings.Decisions.Desk;
-    setup.Desk.Cells =
+    setup.Placement = Settings.Decisions.Desk;
+    setup.Placement.CellCount =
         static_cast<std::uint32_t>(Settings.FailureDomains.size());
-    setup.Desk.Turn = turn++;
-    setup.Reluctance = reluctance(cell);
+    setup.Placement.CellIndex = turn++;
+    setup.TakeoverDelay = reluctance(cell);
     setup.StandbySpread = standbySpread(Settings.Name);
     Cells[cell] = std::make_unique<CellMember>(
         std::move(setup), memberHooks(cell), View, *Peers, Traffic, Log);
@@ -222,25 +222,25 @@
   hooks.After = [this](Span delay, std::function<void()> call) {
     Timers.after(delay, [call = std::move(call)](Instant) { call(); });
   };
-  hooks.Knows = [this, cell] {
+  hooks.KnownPositions = [this, cell] {
     const auto *from = newsFrom();
     bool its = from && from->cell() == cell;
     return its ? Watch->positions() : RegistryPositions{};
   };
-  hooks.NewsSince = [this](const RegistryPositions &known) {
-    return Watch->newsSince(known);
+  hooks.UpdateSince = [this](const RegistryPositions &known) {
+    return Watch->updateSince(known);
   };
-  hooks.OnNews = [this](const RegistryNews &news, Instant sentAfter) {
-    Watch->onTold(news, sentAfter);
+  hooks.OnUpdate = [this](const RegistryUpdate &news, Instant sentAfter) {
+    Watch->onPeerUpdate(news, sentAfter);
   };
   hooks.Leases = [this, cell] { return leasesBut(cell); };
   hooks.OnLease = [this](const std::string &of, const std::string &text) {
     auto it = Cells.find(of);
     auto row = CellLeaseRow::parse(text);
     if (it != Cells.end() && row)
-      it->second->onTold(*row);
+      it->second->onPeerRow(*row);
   };
-  hooks.OnRosters = [this] { onRosters(); };
+  hooks.OnServingEntries = [this] { onRosters(); };
   hooks.Crashes = &Crashes;
   return hooks;
 }
@@ -291,7 +291,7 @@
       cell->onVersion(named.Weights, named.Version);
   auto open = Exchanges;
   for (const auto &it : open)
-    it->onNamed(named.Weights);
+    it->onVersionDeclared(named.Weights);
 }
 
 void Gateway::onReplicas(const ReplicaChanges &changes, bool unreachable) {
@@ -304,31 +304,33 @@
     // Entries also lapse while the registry is away, of replicas that live;
     // those that stay away are found when they are dropped from the view.
     if (!unreachable)
-      Crashes.onGone(it);
+      Crashes.onRemoved(it);
   }
-  if (!changes.Unread.empty())
-    Log.write(LogClass::State, "entries-unread",
-              {{"entries", static_cast<std::uint64_t>(changes.Unread.size())},
-               {"first", changes.Unread.front()}});
+  if (!changes.Unreadable.empty())
+    Log.write(
+        LogClass::State, "entries-unread",
+        {{"entries", static_cast<std::uint64_t>(changes.Unreadable.size())},
+         {"first", changes.Unreadable.front()}});
   for (const auto &it : changes.Present)
     if (it.Draining)
       Log.write(LogClass::State, "replica-leaves",
-                {{"replica", it.Life.text()},
+                {{"replica", it.Incarnation.text()},
                  {"address", it.Address},
-                 {"leaves_in_ms", it.LeavesIn}});
+                 {"leaves_in_ms", it.TerminatesIn}});
   SeenReplicas = SeenReplicas || View.size() > 0;
   wakeWaiting();
 }
 
 void Gateway::onRestarted(const ReplicaRecord &before) {
-  Log.write(LogClass::State, "replica-restarted",
-            {{"replica", before.Life.text()}, {"address", before.Address}});
-  Crashes.onEnded(before.Life);
+  Log.write(
+      LogClass::State, "replica-restarted",
+      {{"replica", before.Incarnation.text()}, {"address", before.Address}});
+  Crashes.onEnded(before.Incarnation);
   // Nothing listens any more behind connections of before.
   Pool.drop(parseEndpoint(before.Address));
   auto open = Exchanges;
   for (const auto &it : open)
-    it->onRestarted(before.Life);
+    it->onRestarted(before.Incarnation);
 }
 
 void Gateway::onRequest(CallerRequest request,
@@ -348,11 +350,12 @@
                     std::shared_ptr<CallerReply> reply) {
   if (labels.Id.empty())
     return refuse(*reply, labels.Id, BadRequest, "the request has no id");
-  if (access.Space && Settings.RevokeFailClosed &&
-      Watch->sureDeclaredAge() > Settings.RevokeBound)
+  if (access.CallerWorkspace && Settings.RevokeFailClosed &&
+      Watch->confirmedDeclaredAge() > Settings.RevokeBound)
     return refuse(*reply, labels.Id, Unavailable, "keys can't be confirmed",
                   Span(AwayRetry));
-  const auto *service = Plan->service(access.Way->Targets.front().Service);
+  const auto *service =
+      Plan->service(access.MatchedRoute->Targets.front().Service);
   bool generates = service && service->Engine;
   if (Leaving && stopShare() > (generates ? LastGeneration : LastPlain))
     return refuse(*reply, labels.Id, Unavailable, "this node stops",
@@ -421,7 +424,7 @@
             {{"open", static_cast<std::uint64_t>(Exchanges.size())}});
   StoppedAt = TimerService::now();
   for (auto &[name, cell] : Cells) {
-    cell->beat();
+    cell->sendHeartbeat();
     cell->leave();
   }
   auto open = Exchanges;
@@ -441,7 +444,7 @@
   }
   auto open = Exchanges;
   for (const auto &it : open)
-    it->cut();
+    it->abort();
   Log.write(LogClass::State, "stopped",
             {{"cut", static_cast<std::uint64_t>(open.size())}});
   constexpr auto LastWrites = std::chrono::milliseconds(50);
--- a/Programs/hemlockgladed/Gateway/Gateway.h
+++ b/Programs/hemlockgladed/Gateway/Gateway.h
@@ -5,11 +5,11 @@
 #include "Hemlockglade/State/Routing/CallerAccess.h"
 #include "Hemlockglade/Transport/Http1/CallerServer.h"
 #include "Programs/hemlockgladed/Gateway/CellMember.h"
-#include "Programs/hemlockgladed/Gateway/CrashLink.h"
+#include "Programs/hemlockgladed/Gateway/CrashCoordinator.h"
 #include "Programs/hemlockgladed/Gateway/GatewayExchange.h"
 #include "Programs/hemlockgladed/Gateway/PlatformPort.h"
-#include "Programs/hemlockgladed/Gateway/QuotaLink.h"
-#include "Programs/hemlockgladed/Gateway/RegistryWatch.h"
+#include "Programs/hemlockgladed/Gateway/QuotaService.h"
+#include "Programs/hemlockgladed/Gateway/RegistryWatcher.h"
 
 #include <unordered_set>
 
@@ -123,8 +123,8 @@
   CellMember::Hooks memberHooks(const std::string &cell);
   ExchangeContext exchangeContext();
   CrashHooks crashHooks();
-  CrashLink::Hooks crashLinkHooks();
-  QuotaLink::Hooks quotaHooks();
+  CrashCoordinator::Hooks crashLinkHooks();
+  QuotaService::Hooks quotaHooks();
   LimitHooks limitHooks();
   void onBarred(const RequestKey &key);
 
@@ -136,25 +136,25 @@
   TimerService Timers;
   MetricRegistry Metrics;
   ReplicaView View;
-  RepeatBudget Budget;
+  SharedRetryBudget Budget;
   HttpPool Pool;
-  CrashLink Crashes;
+  CrashCoordinator Crashes;
   PeerTraffic Traffic;
-  QuotaLink Quotas;
-  TurnQueue Turns;
+  QuotaService Quotas;
+  FairQueue Turns;
   ExchangeContext Shared;
   const ExchangeSettings ExchangeSetup;
   std::unique_ptr<PeerNet> Peers;
   std::map<std::string, std::unique_ptr<CellMember>> Cells;
-  EntryBoard Board;
+  ServingEntries Board;
   /// All requests, and those for engines alone.
-  EntryMeter Meter;
-  EntryMeter Generations;
+  EntryLoadMeter Meter;
+  EntryLoadMeter Generations;
   bool InService = false;
   bool Awake = false;
   /// When a caller's request came last.
   Instant AskedAt{-3'600'000'000};
-  std::unique_ptr<RegistryWatch> Watch;
+  std::unique_ptr<RegistryWatcher> Watch;
   std::unique_ptr<CallerServer> Callers;
   std::unique_ptr<CallerServer> Directory;
   std::unique_ptr<CallerServer> Readiness;
--- a/Programs/hemlockgladed/Gateway/GatewayAccess.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayAccess.cpp
@@ -52,14 +52,14 @@
   reply.respond(std::move(head), why);
 }
 
-QuotaLink::Hooks Gateway::quotaHooks() {
-  QuotaLink::Hooks hooks;
+QuotaService::Hooks Gateway::quotaHooks() {
+  QuotaService::Hooks hooks;
   hooks.OwnerOf = [this](const std::string &cell) {
     const auto &row = Cells.at(cell)->lease().row();
     bool holds = row && !row->Released && row->Holder != Settings.Name;
     return holds ? row->Address : std::string();
   };
-  hooks.Holds = [this](const std::string &cell) -> Epoch {
+  hooks.HeldEpoch = [this](const std::string &cell) -> Epoch {
     auto it = Cells.find(cell);
     if (it == Cells.end())
       return 0;
@@ -74,14 +74,15 @@
 
 LimitHooks Gateway::limitHooks() {
   LimitHooks hooks;
-  hooks.Book = [this](const Workspace &workspace, double units, auto decided) {
-    Quotas.book(workspace, units, std::move(decided));
+  hooks.Reserve = [this](const Workspace &workspace, double units,
+                         auto decided) {
+    Quotas.reserve(workspace, units, std::move(decided));
   };
   hooks.Charge = [this](const Workspace &workspace, double units) {
     Quotas.charge(workspace, units);
   };
-  hooks.GiveBack = [this](const Workspace &workspace, double units) {
-    Quotas.giveBack(workspace, units);
+  hooks.Release = [this](const Workspace &workspace, double units) {
+    Quotas.release(workspace, units);
   };
   return hooks;
 }
@@ -89,8 +90,9 @@
 CallerAccess Gateway::access(const CallerRequest &request,
                              const RequestLabels &labels) const {
   const auto *host = findField(request.Head.Fields, "Host");
-  return accessOf(*Plan, host ? std::string_view(*host) : std::string_view(),
-                  request.Head.path(), labels.Caller);
+  return resolveAccess(*Plan,
+                       host ? std::string_view(*host) : std::string_view(),
+                       request.Head.path(), labels.Caller);
 }
 
 void Gateway::deny(CallerReply &reply, std::string_view id,
@@ -103,7 +105,7 @@
   // Routes change rarely, and whoever looks around asks every node for some
   // that never were: the age that all nodes keep to serves.
   bool noRoute = denied == CallerAccess::Denial::NoRoute;
-  return noRoute ? Settings.lookPace().OperatorAge : Span(KeyDenialAge);
+  return noRoute ? Settings.lookPace().MaxOperatorAge : Span(KeyDenialAge);
 }
 
 void Gateway::confirmDenial(CallerRequest request, CallerAccess::Denial denied,
--- a/Programs/hemlockgladed/Gateway/GatewayCrashes.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayCrashes.cpp
@@ -21,21 +21,23 @@
   hooks.OnBroken = [this](const ReplicaRecord &replica, const RequestKey &key,
                           Instant sentAt, std::optional<Instant> beganAt) {
     // One that leaves ends with what it still runs.
-    if (!View.leaving(replica.Life.text()))
+    if (!View.isDraining(replica.Incarnation.text()))
       Crashes.onBroken(replica, key, sentAt, beganAt);
   };
   hooks.OnGivenUp = [this](const ReplicaRecord &replica, const RequestKey &key,
                            Instant sentAt, std::optional<Instant> beganAt) {
-    if (!View.leaving(replica.Life.text()))
+    if (!View.isDraining(replica.Incarnation.text()))
       Crashes.onGivenUp(replica, key, sentAt, beganAt);
   };
-  hooks.OnReplaced = [this](const ReplicaLife &life) { Crashes.onEnded(life); };
+  hooks.OnReplaced = [this](const ReplicaIncarnation &life) {
+    Crashes.onEnded(life);
+  };
   hooks.OnServed = [this](const RequestKey &key) { Crashes.onServed(key); };
   return hooks;
 }
 
-CrashLink::Hooks Gateway::crashLinkHooks() {
-  CrashLink::Hooks hooks;
+CrashCoordinator::Hooks Gateway::crashLinkHooks() {
+  CrashCoordinator::Hooks hooks;
   hooks.Probe = [this](const std::string &address,
                        std::function<void(Listening)> done) {
     probeListener(Context, parseEndpoint(address), ProbeTimeout,
@@ -44,9 +46,9 @@
   hooks.After = [this](Span delay, std::function<void()> call) {
     Timers.after(delay, [call = std::move(call)](Instant) { call(); });
   };
-  hooks.OnNews = [this] {
+  hooks.OnUpdate = [this] {
     for (auto &[name, cell] : Cells)
-      cell->onCrashNews();
+      cell->onCrashUpdate();
   };
   hooks.OnBarred = [this](const RequestKey &key) { onBarred(key); };
   return hooks;
--- a/Programs/hemlockgladed/Gateway/GatewayExchange.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.cpp
@@ -31,36 +31,39 @@
                                  const CallerAccess &access,
                                  CallerRequest request, RequestLabels labels,
                                  std::shared_ptr<CallerReply> reply)
-    : Shared(shared), Setup(settings), Plan(std::move(plan)), Way(*access.Way),
-      Space(access.Space), Request(std::move(request)),
+    : Shared(shared), Settings(settings), Plan(std::move(plan)),
+      MatchedRoute(*access.MatchedRoute),
+      CallerWorkspace(access.CallerWorkspace), Request(std::move(request)),
       Labels(std::move(labels)), Key(keyOf(Request, Labels)),
       Fields(viewsOf(Request.Head.Fields)), Reply(std::move(reply)),
       Timer(shared.Context), AttemptTimer(shared.Context) {
-  Query.Service = Way.targetFor(std::hash<std::string>{}(Labels.Id));
+  Query.Service = MatchedRoute.targetFor(std::hash<std::string>{}(Labels.Id));
   const auto *service = Plan->service(Query.Service);
   if (service && service->Engine)
     Query.Weights = Labels.Weights;
   Query.PromptTokens = Labels.PromptTokens;
-  Query.Target = Way.TargetLatency;
-  Query.TimelyUntil =
-      Request.ArrivedAt + scaled(Way.TargetLatency, Setup.TimelyShare);
-  Query.Rank = Space && Space->Priority ? *Space->Priority : Way.Priority;
+  Query.TargetLatency = MatchedRoute.TargetLatency;
+  Query.OnTimeUntil = Request.ArrivedAt +
+                      scaled(MatchedRoute.TargetLatency, Settings.OnTimeShare);
+  Query.Rank = CallerWorkspace && CallerWorkspace->Priority
+                   ? *CallerWorkspace->Priority
+                   : MatchedRoute.Priority;
   Query.Tokens = Labels.PromptTokens + Labels.MaxOutputTokens;
   for (std::size_t it = 0; it + 1 < Labels.Prompt.size(); ++it) {
-    Query.Parts.push_back(Labels.Prompt[it].Id);
+    Query.PromptParts.push_back(Labels.Prompt[it].Id);
     Query.SharedTokens += Labels.Prompt[it].Tokens;
   }
-  Span allowed = Way.Timeout;
+  Span allowed = MatchedRoute.Timeout;
   if (Labels.TimeLeft)
     allowed = std::min(allowed, *Labels.TimeLeft);
   EndsAt = Request.ArrivedAt + allowed;
-  HoldUntil = Request.ArrivedAt + scaled(allowed, Setup.HoldShare);
-  if (Way.Kind == RouteKind::Stream) {
-    auto patience =
-        std::max({Setup.LeastPatience,
-                  scaled(Way.TargetLatency, Setup.PatienceInTargets),
-                  scaled(Way.TargetGap, Setup.PatienceInGaps)});
-    HoldFor = scaled(patience, Setup.PatienceShare);
+  HoldUntil = Request.ArrivedAt + scaled(allowed, Settings.MaxHoldShare);
+  if (MatchedRoute.Kind == RouteKind::Stream) {
+    auto patience = std::max(
+        {Settings.MinCallerPatience,
+         scaled(MatchedRoute.TargetLatency, Settings.CallerPatienceInTargets),
+         scaled(MatchedRoute.TargetGap, Settings.CallerPatienceInGaps)});
+    HoldFor = scaled(patience, Settings.StreamHoldShare);
     HoldUntil = std::min(HoldUntil, Request.ArrivedAt + HoldFor);
   }
   LastEvent = Labels.ResumeBehind;
@@ -94,13 +97,13 @@
 
 void GatewayExchange::onBarred() {
   // One that gives events runs at a replica that lives.
-  if (Done || (Now && Now->FirstEventAt))
+  if (Done || (Current && Current->FirstEventAt))
     return;
-  if (Now) {
+  if (Current) {
     // It may wait behind others there, and would crash the replica as it
     // begins.
-    MayHaveRun = MayHaveRun || Now->Connection->open();
-    endAttempt(AttemptVerdict::Good);
+    MayHaveRun = MayHaveRun || Current->Connection->open();
+    endAttempt(AttemptVerdict::Success);
   }
   endIfBarred();
 }
@@ -113,7 +116,8 @@
   // A wait whose end is known need not be looked at before.
   constexpr Span LeastWait = std::chrono::milliseconds(2);
   if (Waiting)
-    due = std::min(due, std::clamp(WakeAt - now, LeastWait, Setup.WaitStep));
+    due = std::min(
+        due, std::clamp(WakeAt - now, LeastWait, Settings.WaitPollInterval));
   Timer.expires_after(std::max(Span(0), due));
   Timer.async_wait([weak = weak_from_this()](asio::error_code ec) {
     auto self = weak.lock();
@@ -130,10 +134,10 @@
       arm();
     return;
   }
-  if (Now) {
+  if (Current) {
     // A request is written as soon as its connection is open.
-    MayHaveRun = MayHaveRun || Now->Connection->open();
-    endAttempt(AttemptVerdict::Bad);
+    MayHaveRun = MayHaveRun || Current->Connection->open();
+    endAttempt(AttemptVerdict::NoValidAnswer);
   }
   if (AnswerBegun) {
     Reply->abort();
@@ -164,14 +168,14 @@
 
 void GatewayExchange::next() {
   auto now = TimerService::now();
-  if (timeLeft() < Setup.LeastAttempt)
+  if (timeLeft() < Settings.MinAttemptTime)
     return arm();
   if (endIfBarred())
     return;
   auto choice = Shared.View.choose(Query, now);
-  if (choice.What == RouteChoice::Kind::Send && letsOthersGo(now))
-    choice.What = RouteChoice::Kind::Full;
-  if (choice.What == RouteChoice::Kind::Send) {
+  if (choice.Result == RouteChoice::Kind::Send && letsOthersGo(now))
+    choice.Result = RouteChoice::Kind::Full;
+  if (choice.Result == RouteChoice::Kind::Send) {
     if (engine() && !std::exchange(DemandTold, true))
       Shared.OnDemand(Query.Service, *Query.Weights, false);
     return send(choice);
@@ -189,33 +193,34 @@
     return answerOwn(Unavailable, "held too long", retryAfter());
   }
   Waiting = true;
-  Paced = choice.What == RouteChoice::Kind::Pace ||
-          choice.What == RouteChoice::Kind::Full;
-  WakeAt =
-      choice.ReadyAt == Instant::max() ? now + Setup.WaitStep : choice.ReadyAt;
-  switch (choice.What) {
-  case RouteChoice::Kind::Missing:
+  Paced = choice.Result == RouteChoice::Kind::AwaitPrefill ||
+          choice.Result == RouteChoice::Kind::Full;
+  WakeAt = choice.ReadyAt == Instant::max() ? now + Settings.WaitPollInterval
+                                            : choice.ReadyAt;
+  switch (choice.Result) {
+  case RouteChoice::Kind::NotLoaded:
     WaitReason = "weights missing";
-    if (now - WantToldAt >= Setup.WantEvery) {
+    if (now - WantToldAt >= Settings.DemandReminderInterval) {
       WantToldAt = now;
       Shared.OnDemand(Query.Service, *Query.Weights, true);
     }
     break;
-  case RouteChoice::Kind::Wait:
+  case RouteChoice::Kind::AwaitLoad:
     WaitReason = "weights loading";
     break;
-  case RouteChoice::Kind::Pace:
+  case RouteChoice::Kind::AwaitPrefill:
     WaitReason = "engine reads";
     tellPressed(now);
     break;
   case RouteChoice::Kind::Full:
-    if (!engine() && Shared.Turns) {
+    if (!engine() && Shared.PlainQueue) {
       joinTurns();
       // Others may go where it may not.
-      if (!Query.Avoid.empty() || !Query.Resting.empty())
-        Shared.Turns->passOver(Query.Service, Turn, now + Setup.WaitStep / 2);
+      if (!Query.Excluded.empty() || !Query.BackoffUntil.empty())
+        Shared.PlainQueue->deferUntil(Query.Service, Turn,
+                                      now + Settings.WaitPollInterval / 2);
     }
-    WakeAt = now + Setup.WaitStep;
+    WakeAt = now + Settings.WaitPollInterval;
     WaitReason = "replicas full";
     tellPressed(now);
     break;
@@ -242,11 +247,12 @@
 }
 
 void GatewayExchange::tellPressed(Instant now) {
-  bool pressed = now - Request.ArrivedAt >= Setup.PressedAfter;
-  if (!engine() || !pressed || now - WantToldAt < Setup.WantEvery)
+  bool pressed = now - Request.ArrivedAt >= Settings.CongestedAfter;
+  if (!engine() || !pressed ||
+      now - WantToldAt < Settings.DemandReminderInterval)
     return;
   WantToldAt = now;
-  Shared.OnPressed(Query.Service, *Query.Weights);
+  Shared.OnCongested(Query.Service, *Query.Weights);
 }
 
 void GatewayExchange::send(const RouteChoice &choice) {
@@ -256,12 +262,12 @@
   try {
     address = parseEndpoint(choice.Replica->Address);
   } catch (const asio::system_error &) {
-    Query.Avoid.insert(choice.Replica->Life.text());
+    Query.Excluded.insert(choice.Replica->Incarnation.text());
     return hold(choice);
   }
   ForwardLabels labels;
   labels.TimeLeft = timeLeft();
-  labels.Incarnation = choice.Replica->Life.id();
+  labels.Incarnation = choice.Replica->Incarnation.id();
   if (engine())
     labels.Priority = std::min(LowestRank, Query.Rank);
   if (engine() && choice.Version)
@@ -277,27 +283,29 @@
     head.Fields.push_back({"Content-Length", "0"});
   leaveTurns(true);
   Query.SentAt = now;
-  Now = std::make_unique<Attempt>();
-  Now->Replica = choice.Replica;
-  Now->SentAt = now;
-  Now->Clean = choice.Clean;
-  Now->Version = choice.Version;
-  Now->BeginsBy = choice.BeginsBy;
+  Current = std::make_unique<Attempt>();
+  Current->Replica = choice.Replica;
+  Current->SentAt = now;
+  Current->Clean = choice.PrefillIdle;
+  Current->Version = choice.Version;
+  Current->BeginsBy = choice.MustBeginBy;
   ReplacedFor.reset();
   if (choice.ReplacedAt)
     ReplacedFor = now - *choice.ReplacedAt;
   if (engine())
-    Shared.OnSent(*choice.Replica,
-                  Shared.View.tokensToRead(choice.Replica->Life.text(), Query),
-                  *Query.Weights);
-  if (Space && Space->Limit && !std::exchange(Booked, true))
-    Shared.Limits.Charge(*Space, units());
-  Now->Number = Shared.View.onSent(choice.Replica->Life.text(), Query, now);
-  bool once = !Way.idempotent();
-  Now->Connection =
-      Shared.Pool.take(address, once ? Setup.UnsafeIdle : Span::max());
-  bool kept = Now->Connection->open();
-  Tried.insert(choice.Replica->Life.text());
+    Shared.OnSent(
+        *choice.Replica,
+        Shared.View.tokensToRead(choice.Replica->Incarnation.text(), Query),
+        *Query.Weights);
+  if (CallerWorkspace && CallerWorkspace->Limit && !std::exchange(Booked, true))
+    Shared.Limits.Charge(*CallerWorkspace, units());
+  Current->Number =
+      Shared.View.onSent(choice.Replica->Incarnation.text(), Query, now);
+  bool once = !MatchedRoute.idempotent();
+  Current->Connection = Shared.Pool.take(
+      address, once ? Settings.MaxIdleForRunOnce : Span::max());
+  bool kept = Current->Connection->open();
+  Tried.insert(choice.Replica->Incarnation.text());
   Shared.Crashes.OnSent(Key);
   EverSent = true;
   if (!FirstSent)
@@ -305,17 +313,17 @@
   Shared.Log.write(LogClass::Request, "send",
                    {{"request", Labels.Id},
                     {"key", Key.text()},
-                    {"route", Way.Name},
+                    {"route", MatchedRoute.Name},
                     {"workspace", workspace()},
                     {"service", Query.Service},
                     {"weights", engine() ? Query.Weights->text() : ""},
                     {"version", choice.Version},
-                    {"newest", choice.Newest},
+                    {"newest", choice.NewestVersion},
                     {"replaced_ms_ago", ReplacedFor.value_or(Span(0))},
-                    {"replica", choice.Replica->Life.text()},
+                    {"replica", choice.Replica->Incarnation.text()},
                     {"running", choice.Running},
                     {"load_age_ms", choice.LoadAge},
-                    {"far", choice.Far},
+                    {"far", choice.Remote},
                     {"attempt", static_cast<std::uint64_t>(Tried.size())},
                     {"kept", kept},
                     {"waited_ms", now - Request.ArrivedAt},
@@ -324,10 +332,11 @@
                     {"left_ms", labels.TimeLeft}});
   HttpCallHooks hooks;
   auto weak = weak_from_this();
-  auto number = Now->Number;
+  auto number = Current->Number;
   auto live = [weak, number]() -> std::shared_ptr<GatewayExchange> {
     auto self = weak.lock();
-    bool its = self && !self->Done && self->Now && self->Now->Number == number;
+    bool its =
+        self && !self->Done && self->Current && self->Current->Number == number;
     return its ? self : nullptr;
   };
   hooks.OnHead = [live](const HttpAnswerHead &it) {
@@ -346,88 +355,93 @@
     if (auto self = live())
       self->onFailed(how);
   };
-  if (Way.idempotent()) {
-    auto usual = Shared.View.usualAnswer(choice.Replica->Life.text());
-    Span least = Way.Kind == RouteKind::Stream
-                     ? std::max(Setup.LeastStall, Way.TargetLatency)
-                     : Setup.LeastSlow;
-    expectWithin(std::max(least, scaled(usual, Setup.SlowFactor)));
+  if (MatchedRoute.idempotent()) {
+    auto usual =
+        Shared.View.typicalFirstByte(choice.Replica->Incarnation.text());
+    Span least =
+        MatchedRoute.Kind == RouteKind::Stream
+            ? std::max(Settings.MinStallTime, MatchedRoute.TargetLatency)
+            : Settings.MinSlowTime;
+    expectWithin(std::max(least, scaled(usual, Settings.SlowFactor)));
   }
   armAttempt();
   arm();
-  Now->Connection->call(writeHead(head), Request.Body,
-                        Request.Head.Method == "HEAD", std::move(hooks));
+  Current->Connection->call(writeHead(head), Request.Body,
+                            Request.Head.Method == "HEAD", std::move(hooks));
 }
 
 void GatewayExchange::expectWithin(Span span) {
-  Now->StuckAt = TimerService::now() + span;
+  Current->StuckAt = TimerService::now() + span;
 }
 
 void GatewayExchange::armAttempt() {
-  auto due = Now->StuckAt;
-  if (Now->BeginsBy && !Now->FirstEventAt)
-    due = std::min(due, *Now->BeginsBy);
+  auto due = Current->StuckAt;
+  if (Current->BeginsBy && !Current->FirstEventAt)
+    due = std::min(due, *Current->BeginsBy);
   if (due == Instant::max())
     return;
   // The timer is not moved with each event: it looks when it fires.
   AttemptTimer.expires_after(due - TimerService::now());
-  AttemptTimer.async_wait([weak = weak_from_this(),
-                           number = Now->Number](asio::error_code ec) {
-    auto self = weak.lock();
-    if (!ec && self && !self->Done && self->Now && self->Now->Number == number)
-      self->onAttemptTimer();
-  });
+  AttemptTimer.async_wait(
+      [weak = weak_from_this(), number = Current->Number](asio::error_code ec) {
+        auto self = weak.lock();
+        if (!ec && self && !self->Done && self->Current &&
+            self->Current->Number == number)
+          self->onAttemptTimer();
+      });
 }
 
-void GatewayExchange::onRestarted(const ReplicaLife &before) {
-  if (Done || !Now || Now->Replica->Life != before)
+void GatewayExchange::onRestarted(const ReplicaIncarnation &before) {
+  if (Done || !Current || Current->Replica->Incarnation != before)
     return;
-  Now->Orphaned = true;
-  Now->StuckAt =
-      std::min(Now->StuckAt, TimerService::now() + Setup.OrphanPatience);
+  Current->Orphaned = true;
+  Current->StuckAt =
+      std::min(Current->StuckAt, TimerService::now() + Settings.RestartGrace);
   armAttempt();
 }
 
-void GatewayExchange::onNamed(const WeightsRef &weights) {
+void GatewayExchange::onVersionDeclared(const WeightsRef &weights) {
   // Only a stream shows when it begins; any other run may be under way.
-  bool waits = Now && !Now->FirstEventAt && Way.Kind == RouteKind::Stream;
+  bool waits = Current && !Current->FirstEventAt &&
+               MatchedRoute.Kind == RouteKind::Stream;
   if (Done || !waits || Query.Weights != weights)
     return;
-  Now->BeginsBy = Shared.View.beginsBy(weights, Now->Version);
+  Current->BeginsBy = Shared.View.mustBeginBy(weights, Current->Version);
   armAttempt();
 }
 
 void GatewayExchange::noteAlive() {
   // Something came: the request runs at the new start of its replica.
-  if (std::exchange(Now->Orphaned, false))
-    Now->StuckAt = Way.idempotent() ? TimerService::now() + Setup.LeastStall
-                                    : Instant::max();
+  if (std::exchange(Current->Orphaned, false))
+    Current->StuckAt = MatchedRoute.idempotent()
+                           ? TimerService::now() + Settings.MinStallTime
+                           : Instant::max();
 }
 
 bool GatewayExchange::beginsTooLate() const {
-  return Now->BeginsBy && !Now->FirstEventAt &&
-         TimerService::now() >= *Now->BeginsBy;
+  return Current->BeginsBy && !Current->FirstEventAt &&
+         TimerService::now() >= *Current->BeginsBy;
 }
 
 void GatewayExchange::onAttemptTimer() {
   bool late = beginsTooLate();
-  if (!late && TimerService::now() < Now->StuckAt)
+  if (!late && TimerService::now() < Current->StuckAt)
     return armAttempt();
-  MayHaveRun = MayHaveRun || Now->Connection->open();
+  MayHaveRun = MayHaveRun || Current->Connection->open();
   if (late)
     return endUnbegun();
-  if (Now->Orphaned && !Now->Connection->open())
+  if (Current->Orphaned && !Current->Connection->open())
     return onFailed(HttpFailure::NotConnected);
-  if (Now->Orphaned)
+  if (Current->Orphaned)
     return onUnknown("replica started anew");
   if (!mayRepeat() || !spendRepeat("slow")) {
     // It is waited for on; that it begins too late is still looked at.
-    Now->StuckAt = Instant::max();
+    Current->StuckAt = Instant::max();
     return armAttempt();
   }
-  auto slow = Now->Replica->Life.text();
-  endAttempt(AttemptVerdict::Bad);
-  Query.Avoid.insert(slow);
+  auto slow = Current->Replica->Incarnation.text();
+  endAttempt(AttemptVerdict::NoValidAnswer);
+  Query.Excluded.insert(slow);
   next();
 }
 
@@ -439,23 +453,24 @@
   Shared.Log.write(LogClass::Request, "not-begun",
                    {{"request", Labels.Id},
                     {"weights", Query.Weights->text()},
-                    {"version", Now->Version},
-                    {"replica", Now->Replica->Life.text()},
-                    {"sent_ms_ago", now - Now->SentAt},
-                    {"due_ms_ago", now - *Now->BeginsBy}});
+                    {"version", Current->Version},
+                    {"replica", Current->Replica->Incarnation.text()},
+                    {"sent_ms_ago", now - Current->SentAt},
+                    {"due_ms_ago", now - *Current->BeginsBy}});
   // The engine did nothing wrong, and may be the one that takes the newest.
-  endAttempt(AttemptVerdict::Good);
+  endAttempt(AttemptVerdict::Success);
   goOn("would begin on replaced weights");
 }
 
 bool GatewayExchange::mayRepeat() const {
-  bool more = Tried.size() < Way.MaxAttempts;
-  return Way.idempotent() && more && timeLeft() > Setup.LeastAttempt;
+  bool more = Tried.size() < MatchedRoute.MaxAttempts;
+  return MatchedRoute.idempotent() && more &&
+         timeLeft() > Settings.MinAttemptTime;
 }
 
 bool GatewayExchange::spendRepeat(std::string_view why) {
   auto now = TimerService::now();
-  bool allowed = Shared.Budget.spend(Query.Service, now);
+  bool allowed = Shared.Budget.tryConsume(Query.Service, now);
   // A caller who has heard something waits as long again.
   if (allowed)
     HoldUntil = std::min(std::max(HoldUntil, now + HoldFor), HoldLimit);
@@ -469,19 +484,19 @@
 }
 
 void GatewayExchange::endAttempt(AttemptVerdict verdict) {
-  if (!Now)
+  if (!Current)
     return;
   AttemptTimer.cancel();
-  auto attempt = std::exchange(Now, nullptr);
+  auto attempt = std::exchange(Current, nullptr);
   // What reached a replica may have run, unless it says that it has not.
   if (attempt->Connection->open() && !attempt->Labels.NotRun)
     Booked = false;
-  Shared.View.onEnd(attempt->Replica->Life.text(), attempt->Number, Query,
-                    verdict, TimerService::now());
+  Shared.View.onEnd(attempt->Replica->Incarnation.text(), attempt->Number,
+                    Query, verdict, TimerService::now());
   if (engine())
     Shared.OnDone(*attempt->Replica, *Query.Weights);
-  else if (Shared.Turns)
-    Shared.Turns->wakeNext(Query.Service, TimerService::now());
+  else if (Shared.PlainQueue)
+    Shared.PlainQueue->wakeNext(Query.Service, TimerService::now());
   if (attempt->Connection->calling())
     Shared.Crashes.OnGivenUp(*attempt->Replica, Key, attempt->SentAt,
                              attempt->FirstEventAt);
@@ -536,8 +551,8 @@
 }
 
 void GatewayExchange::onCallerGone() {
-  if (Now)
-    endAttempt(AttemptVerdict::Good);
+  if (Current)
+    endAttempt(AttemptVerdict::Success);
   finish(0, "caller left");
 }
 
@@ -546,11 +561,11 @@
   HoldUntil = std::min(HoldUntil, HoldLimit);
 }
 
-void GatewayExchange::cut() {
+void GatewayExchange::abort() {
   if (Done)
     return;
-  if (Now)
-    endAttempt(AttemptVerdict::Good);
+  if (Current)
+    endAttempt(AttemptVerdict::Success);
   if (!AnswerBegun && !MayHaveRun && !EverSent)
     return answerOwn(Unavailable, "this node stops", retryAfter());
   answerOwn(BadGateway, "this node stops");
--- a/Programs/hemlockgladed/Gateway/GatewayExchange.h
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "Hemlockglade/Coordination/Route/ExchangeSettings.h"
-#include "Hemlockglade/Coordination/Route/RepeatBudget.h"
+#include "Hemlockglade/Coordination/Route/FairQueue.h"
 #include "Hemlockglade/Coordination/Route/ReplicaView.h"
-#include "Hemlockglade/Coordination/Route/TurnQueue.h"
+#include "Hemlockglade/Coordination/Route/SharedRetryBudget.h"
 #include "Hemlockglade/Protocol/Endpoint/EventSplitter.h"
 #include "Hemlockglade/Protocol/Exchange/RequestIdentity.h"
 #include "Hemlockglade/Protocol/Exchange/RequestLabels.h"
@@ -11,7 +11,7 @@
 #include "Hemlockglade/State/Routing/CallerAccess.h"
 #include "Hemlockglade/Transport/Http1/CallerConnection.h"
 #include "Hemlockglade/Transport/Http1/HttpPool.h"
-#include "Programs/hemlockgladed/Gateway/QuotaLink.h"
+#include "Programs/hemlockgladed/Gateway/QuotaService.h"
 
 #include <asio/steady_timer.hpp>
 
@@ -34,7 +34,7 @@
                      Instant sentAt, std::optional<Instant> beganAt)>
       OnGivenUp;
   /// Another incarnation answers at the replica's address.
-  std::function<void(const ReplicaLife &life)> OnReplaced;
+  std::function<void(const ReplicaIncarnation &life)> OnReplaced;
   /// A replica ran it to its end, with success.
   std::function<void(const RequestKey &key)> OnServed;
 };
@@ -44,19 +44,19 @@
 struct LimitHooks {
   /// Asks before a request may run; `decided` is called once, at once or later.
   std::function<void(const Workspace &workspace, double units,
-                     QuotaLink::Decided decided)>
-      Book;
+                     QuotaService::OnDecided decided)>
+      Reserve;
   /// One that may have run runs once more.
   std::function<void(const Workspace &workspace, double units)> Charge;
   /// What was booked has not run.
-  std::function<void(const Workspace &workspace, double units)> GiveBack;
+  std::function<void(const Workspace &workspace, double units)> Release;
 };
 
 /// What exchanges share: the parts of the node that they use.
 struct ExchangeContext {
   asio::io_context &Context;
   ReplicaView &View;
-  RepeatBudget &Budget;
+  SharedRetryBudget &Budget;
   HttpPool &Pool;
   EventLog &Log;
   LabelHooks Labels;
@@ -67,7 +67,7 @@
   /// A request waits because the engines that have the weights are at their
   /// limit.
   std::function<void(const std::string &service, const WeightsRef &weights)>
-      OnPressed;
+      OnCongested;
   std::function<void(const ReplicaRecord &replica, const WeightsRef &weights,
                      bool missing)>
       OnRefusal;
@@ -84,7 +84,7 @@
   CrashHooks Crashes;
   LimitHooks Limits;
   /// Whose turn it is at plain replicas that are full.
-  TurnQueue *Turns = nullptr;
+  FairQueue *PlainQueue = nullptr;
 };
 
 /// One request of a caller, from its arrival to its answer: finds a replica,
@@ -102,16 +102,16 @@
   void wake();
   /// A replica has started anew. An attempt there is over, unless it already
   /// runs at the new start and something comes soon.
-  void onRestarted(const ReplicaLife &before);
+  void onRestarted(const ReplicaIncarnation &before);
   /// A version of weights was named, which may replace the one that an attempt
   /// waits to begin on.
-  void onNamed(const WeightsRef &weights);
+  void onVersionDeclared(const WeightsRef &weights);
   /// The request is barred. It is answered, unless a replica runs it well.
   void onBarred();
   /// Shortens how long it may be held before it is sent anywhere.
   void holdAtMost(Span span);
   /// Ends it without a complete answer, at the end of a stop.
-  void cut();
+  void abort();
 
   bool waiting() const { return Waiting; }
   /// Whether it waits for weights or replicas, rather than for a turn.
@@ -122,7 +122,8 @@
   const std::string &service() const { return Query.Service; }
   /// Name of its workspace; empty if it counts for none.
   std::string_view workspace() const {
-    return Space ? std::string_view(Space->Name) : std::string_view();
+    return CallerWorkspace ? std::string_view(CallerWorkspace->Name)
+                           : std::string_view();
   }
   std::uint16_t status() const { return Status; }
   std::string_view outcome() const { return Result; }
@@ -166,7 +167,7 @@
 
   /// Books the request against its workspace's limit, then goes on.
   void book();
-  void onBooked(QuotaLink::Verdict what, Span retryAfter);
+  void onBooked(QuotaService::Verdict what, Span retryAfter);
   /// Units that the request counts as.
   double units() const;
   void noteLimited(Span retryAfter);
@@ -214,11 +215,11 @@
   bool engine() const { return Query.Weights.has_value(); }
 
   ExchangeContext &Shared;
-  const ExchangeSettings &Setup;
+  const ExchangeSettings &Settings;
   std::shared_ptr<const RoutePlan> Plan;
-  const Route &Way;
+  const Route &MatchedRoute;
   /// Workspace that it counts for; none on routes that are open to all.
-  const Workspace *Space;
+  const Workspace *CallerWorkspace;
   CallerRequest Request;
   RequestLabels Labels;
   RequestKey Key;
@@ -234,9 +235,9 @@
   Span HoldFor{0};
   asio::steady_timer Timer;
   asio::steady_timer AttemptTimer;
-  std::unique_ptr<Attempt> Now;
+  std::unique_ptr<Attempt> Current;
   /// Its place among those that wait for room; 0 if it has none.
-  TurnQueue::Ticket Turn = 0;
+  FairQueue::Ticket Turn = 0;
   bool Waiting = false;
   bool Paced = false;
   bool Done = false;
--- a/Programs/hemlockgladed/Gateway/GatewayExchangeAnswer.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchangeAnswer.cpp
@@ -39,14 +39,15 @@
     Shared.Log.write(LogClass::Request, "stray-answer",
                      {{"request", Labels.Id},
                       {"answers", labels.Id},
-                      {"replica", Now->Replica->Life.text()}});
+                      {"replica", Current->Replica->Incarnation.text()}});
     return false;
   }
   auto now = TimerService::now();
   noteAlive();
-  Now->Head = head;
-  Now->Labels = labels;
-  Shared.View.onAnswered(Now->Replica->Life.text(), Now->Number, now);
+  Current->Head = head;
+  Current->Labels = labels;
+  Shared.View.onAnswered(Current->Replica->Incarnation.text(), Current->Number,
+                         now);
   if (!labels.NotRun)
     MayHaveRun = true;
   return true;
@@ -55,89 +56,91 @@
 void GatewayExchange::onBody(std::string_view part) {
   noteAlive();
   Answered += part.size();
-  bool events = Now->Labels.Events && isSuccess(Now->Head->Status) &&
-                Now->Labels.Sealed && !Now->Labels.Encoded;
+  bool events = Current->Labels.Events && isSuccess(Current->Head->Status) &&
+                Current->Labels.Sealed && !Current->Labels.Encoded;
   if (!events) {
-    Now->Body.append(part);
-    if (Now->Body.size() > Setup.MaxAnswer)
+    Current->Body.append(part);
+    if (Current->Body.size() > Settings.MaxAnswerBytes)
       onUnknown("answer too large");
     return;
   }
-  auto whole = Now->Events.take(part);
+  auto whole = Current->Events.take(part);
   if (!whole.empty())
     passEvents(whole);
 }
 
 void GatewayExchange::passEvents(std::string_view events) {
-  if (!Now->FirstEventAt) {
-    Now->FirstEventAt = TimerService::now();
-    Shared.View.onFirstEvent(Now->Replica->Life.text(), Query,
-                             *Now->FirstEventAt - Now->SentAt, Now->Clean);
+  if (!Current->FirstEventAt) {
+    Current->FirstEventAt = TimerService::now();
+    Shared.View.onFirstEvent(Current->Replica->Incarnation.text(), Query,
+                             *Current->FirstEventAt - Current->SentAt,
+                             Current->Clean);
   }
   if (!AnswerBegun) {
     AnswerBegun = true;
     FirstByte = TimerService::now() - Request.ArrivedAt;
-    Reply->begin(*Now->Head);
+    Reply->begin(*Current->Head);
   }
   if (auto id = lastId(events); !id.empty())
     LastEvent = id;
   ++EventsPassed;
   Reply->part(events);
-  if (Way.idempotent() && Way.TargetGap > Span(0))
-    expectWithin(
-        std::max(Setup.LeastStall, scaled(Way.TargetGap, Setup.StallFactor)));
-  if (Done || !Now || Reply->queued() < Setup.MaxQueued)
+  if (MatchedRoute.idempotent() && MatchedRoute.TargetGap > Span(0))
+    expectWithin(std::max(Settings.MinStallTime, scaled(MatchedRoute.TargetGap,
+                                                        Settings.StallFactor)));
+  if (Done || !Current || Reply->queued() < Settings.MaxQueuedBytes)
     return;
-  Now->Connection->pauseReading(true);
+  Current->Connection->pauseReading(true);
   Reply->OnDrained = [weak = weak_from_this()] {
     auto self = weak.lock();
-    if (self && self->Now)
-      self->Now->Connection->pauseReading(false);
+    if (self && self->Current)
+      self->Current->Connection->pauseReading(false);
   };
 }
 
 void GatewayExchange::onDone() {
-  if (Now->Labels.NotRun)
+  if (Current->Labels.NotRun)
     return onNotRun();
-  bool success = isSuccess(Now->Head->Status);
-  if (success && (!Now->Labels.Sealed || Now->Labels.Encoded))
+  bool success = isSuccess(Current->Head->Status);
+  if (success && (!Current->Labels.Sealed || Current->Labels.Encoded))
     return onUnknown("answer without signature");
-  if (success && Now->Labels.Events) {
+  if (success && Current->Labels.Events) {
     constexpr std::string_view Torn = "its end was torn";
-    if (Now->Events.torn())
+    if (Current->Events.torn())
       onBroken(Torn);
-    return onStreamEnd(!Now->Events.torn(), Torn);
+    return onStreamEnd(!Current->Events.torn(), Torn);
   }
   onPlainAnswer();
 }
 
 void GatewayExchange::onPlainAnswer() {
-  auto status = Now->Head->Status;
+  auto status = Current->Head->Status;
   bool success = isSuccess(status);
-  if (!success && !Now->Labels.Sealed)
+  if (!success && !Current->Labels.Sealed)
     return onUnknown("failure without signature");
   if (!success && promisesNotRun(status))
     return onUnknown("the replica's status would promise too much");
   // A replica that fails more than its like does so by itself; another one
   // may answer the same request well.
   if (status >= ServerError && !AnswerBegun && mayRepeat() &&
-      Shared.View.suspect(Now->Replica->Life.text(), TimerService::now()) &&
+      Shared.View.isSuspect(Current->Replica->Incarnation.text(),
+                            TimerService::now()) &&
       spendRepeat("replica's own failure")) {
-    auto failed = Now->Replica->Life.text();
-    endAttempt(AttemptVerdict::OwnFailure);
-    Query.Avoid.insert(failed);
+    auto failed = Current->Replica->Incarnation.text();
+    endAttempt(AttemptVerdict::ReplicaError);
+    Query.Excluded.insert(failed);
     return next();
   }
   if (AnswerBegun)
     return onStreamEnd(false, "a resumed stream failed");
-  HttpAnswerHead head = *Now->Head;
-  auto body = std::move(Now->Body);
+  HttpAnswerHead head = *Current->Head;
+  auto body = std::move(Current->Body);
   // A failure may come before the replica begins to run the request, and says
   // nothing of what it does there.
   if (success)
     Shared.Crashes.OnServed(Key);
-  endAttempt(status >= ServerError ? AttemptVerdict::OwnFailure
-                                   : AttemptVerdict::Good);
+  endAttempt(status >= ServerError ? AttemptVerdict::ReplicaError
+                                   : AttemptVerdict::Success);
   FirstByte = TimerService::now() - Request.ArrivedAt;
   Reply->respond(std::move(head), body);
   finish(status, success ? "complete" : "replica's failure");
@@ -146,12 +149,12 @@
 void GatewayExchange::onStreamEnd(bool whole, std::string_view why) {
   if (whole) {
     if (!AnswerBegun)
-      Reply->begin(*Now->Head);
+      Reply->begin(*Current->Head);
     AnswerBegun = true;
-    auto status = Now->Head->Status;
-    if (Now->FirstEventAt)
+    auto status = Current->Head->Status;
+    if (Current->FirstEventAt)
       Shared.Crashes.OnServed(Key);
-    endAttempt(AttemptVerdict::Good);
+    endAttempt(AttemptVerdict::Success);
     Reply->finish();
     return finish(status, "complete");
   }
@@ -160,10 +163,10 @@
 
 void GatewayExchange::onFailed(HttpFailure how) {
   if (how == HttpFailure::NotConnected) {
-    auto failed = Now->Replica->Life.text();
+    auto failed = Current->Replica->Incarnation.text();
     Tried.erase(failed);
-    endAttempt(AttemptVerdict::Bad);
-    Query.Avoid.insert(failed);
+    endAttempt(AttemptVerdict::NoValidAnswer);
+    Query.Excluded.insert(failed);
     Shared.Log.write(LogClass::Request, "not-connected",
                      {{"request", Labels.Id}, {"replica", failed}});
     return next();
@@ -178,51 +181,54 @@
 
 void GatewayExchange::onBroken(std::string_view how) {
   auto now = TimerService::now();
-  Shared.Log.write(LogClass::Request, "broke",
-                   {{"request", Labels.Id},
-                    {"key", Key.text()},
-                    {"replica", Now->Replica->Life.text()},
-                    {"how", how},
-                    {"sent_ms_ago", now - Now->SentAt},
-                    {"began", Now->FirstEventAt.has_value()},
-                    {"began_ms_ago",
-                     Now->FirstEventAt ? now - *Now->FirstEventAt : Span(0)}});
-  Shared.Crashes.OnBroken(*Now->Replica, Key, Now->SentAt, Now->FirstEventAt);
+  Shared.Log.write(
+      LogClass::Request, "broke",
+      {{"request", Labels.Id},
+       {"key", Key.text()},
+       {"replica", Current->Replica->Incarnation.text()},
+       {"how", how},
+       {"sent_ms_ago", now - Current->SentAt},
+       {"began", Current->FirstEventAt.has_value()},
+       {"began_ms_ago",
+        Current->FirstEventAt ? now - *Current->FirstEventAt : Span(0)}});
+  Shared.Crashes.OnBroken(*Current->Replica, Key, Current->SentAt,
+                          Current->FirstEventAt);
 }
 
 void GatewayExchange::onNotRun() {
-  auto record = Now->Replica;
+  auto record = Current->Replica;
   const auto &replica = *record;
-  auto status = Now->Head->Status;
+  auto status = Current->Head->Status;
   bool misdirected = status == OtherIncarnation;
-  bool replaced = misdirected && !Now->Labels.Incarnation.empty() &&
-                  Now->Labels.Incarnation != replica.Life.id();
+  bool replaced = misdirected && !Current->Labels.Incarnation.empty() &&
+                  Current->Labels.Incarnation != replica.Incarnation.id();
   Shared.Log.write(LogClass::Request, "not-run",
                    {{"request", Labels.Id},
-                    {"replica", replica.Life.text()},
-                    {"answered_by", Now->Labels.Incarnation},
+                    {"replica", replica.Incarnation.text()},
+                    {"answered_by", Current->Labels.Incarnation},
                     {"status", std::uint32_t{status}}});
   // An engine that lacks the weights answers like one that has been replaced;
   // the difference is which incarnation answers.
   if (replaced) {
-    endAttempt(AttemptVerdict::Bad);
-    Shared.View.onReplaced(replica.Life.text());
-    Shared.Crashes.OnReplaced(replica.Life);
+    endAttempt(AttemptVerdict::NoValidAnswer);
+    Shared.View.onReplaced(replica.Incarnation.text());
+    Shared.Crashes.OnReplaced(replica.Incarnation);
   } else if (engine()) {
-    endAttempt(AttemptVerdict::Good);
-    Shared.View.onWeightsRefused(replica.Life.text(), *Query.Weights,
+    endAttempt(AttemptVerdict::Success);
+    Shared.View.onWeightsRefused(replica.Incarnation.text(), *Query.Weights,
                                  misdirected, TimerService::now());
     Shared.OnRefusal(replica, *Query.Weights, misdirected);
   } else {
     endAttempt(AttemptVerdict::Shed);
     auto &rest =
-        NextRest.try_emplace(replica.Life.text(), Setup.ShedRest).first->second;
-    Query.Resting[replica.Life.text()] = TimerService::now() + rest;
+        NextRest.try_emplace(replica.Incarnation.text(), Settings.ShedBackoff)
+            .first->second;
+    Query.BackoffUntil[replica.Incarnation.text()] = TimerService::now() + rest;
     rest *= 2;
   }
-  Tried.erase(replica.Life.text());
+  Tried.erase(replica.Incarnation.text());
   auto now = TimerService::now();
-  if (Shared.Budget.spend(Query.Service, now))
+  if (Shared.Budget.tryConsume(Query.Service, now))
     return next();
   if (AnswerBegun)
     return onUnknown("no budget to go on");
@@ -232,9 +238,9 @@
 }
 
 void GatewayExchange::onUnknown(std::string_view why) {
-  if (Now) {
-    Query.Avoid.insert(Now->Replica->Life.text());
-    endAttempt(AttemptVerdict::Bad);
+  if (Current) {
+    Query.Excluded.insert(Current->Replica->Incarnation.text());
+    endAttempt(AttemptVerdict::NoValidAnswer);
   }
   goOn(why);
 }
--- a/Programs/hemlockgladed/Gateway/GatewayExchangeTurns.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchangeTurns.cpp
@@ -12,43 +12,44 @@
 using namespace gateway;
 
 double GatewayExchange::units() const {
-  if (Space->Limit->Unit == LimitUnit::Requests)
+  if (CallerWorkspace->Limit->Unit == LimitUnit::Requests)
     return 1;
   return Labels.TellsTokens ? static_cast<double>(Labels.PromptTokens) +
                                   static_cast<double>(Labels.MaxOutputTokens)
-                            : Space->Limit->PlainTokens;
+                            : CallerWorkspace->Limit->PlainTokens;
 }
 
 void GatewayExchange::book() {
-  if (!Space || !Space->Limit)
+  if (!CallerWorkspace || !CallerWorkspace->Limit)
     return next();
-  Shared.Limits.Book(*Space, units(),
-                     [self = shared_from_this()](auto what, Span retryAfter) {
-                       self->onBooked(what, retryAfter);
-                     });
+  Shared.Limits.Reserve(
+      *CallerWorkspace, units(),
+      [self = shared_from_this()](auto what, Span retryAfter) {
+        self->onBooked(what, retryAfter);
+      });
 }
 
-void GatewayExchange::onBooked(QuotaLink::Verdict what, Span retryAfter) {
-  Booked = what == QuotaLink::Verdict::Go;
+void GatewayExchange::onBooked(QuotaService::Verdict what, Span retryAfter) {
+  Booked = what == QuotaService::Verdict::Allowed;
   if (Done)
     return giveBack();
   if (!Booked)
     noteLimited(retryAfter);
-  if (what == QuotaLink::Verdict::Limited)
+  if (what == QuotaService::Verdict::Limited)
     return answerOwn(TooMany, "beyond its workspace's limit", retryAfter);
-  if (what == QuotaLink::Verdict::NoKeeper)
+  if (what == QuotaService::Verdict::NoServer)
     return answerOwn(Unavailable, "its workspace's limit can't be looked up",
                      retryAfter);
   next();
 }
 
 void GatewayExchange::noteLimited(Span retryAfter) {
-  const auto &limit = *Space->Limit;
+  const auto &limit = *CallerWorkspace->Limit;
   bool tokens = limit.Unit == LimitUnit::Tokens;
   Shared.Log.write(
       LogClass::Request, "not-booked",
       {{"request", Labels.Id},
-       {"workspace", Space->Name},
+       {"workspace", CallerWorkspace->Name},
        {"asked_for", units()},
        {"unit", tokens ? "tokens" : "requests"},
        {"limit_per_s", limit.PerSecond},
@@ -60,26 +61,27 @@
 
 void GatewayExchange::giveBack() {
   if (std::exchange(Booked, false))
-    Shared.Limits.GiveBack(*Space, units());
+    Shared.Limits.Release(*CallerWorkspace, units());
 }
 
 bool GatewayExchange::letsOthersGo(Instant now) {
-  if (engine() || !Shared.Turns || !Shared.Turns->anyWaits(Query.Service))
+  if (engine() || !Shared.PlainQueue ||
+      !Shared.PlainQueue->hasWaiting(Query.Service))
     return false;
   joinTurns();
-  if (Shared.Turns->isNext(Query.Service, Turn, now))
+  if (Shared.PlainQueue->isNext(Query.Service, Turn, now))
     return false;
-  Shared.Turns->wakeNext(Query.Service, now);
+  Shared.PlainQueue->wakeNext(Query.Service, now);
   return true;
 }
 
 void GatewayExchange::joinTurns() {
   if (Turn)
     return;
-  TurnQueue::Request request;
+  FairQueue::Request request;
   request.Workspace = workspace();
   request.Rank = Query.Rank;
-  request.TimelyUntil = Shared.View.timelyUntil(Query, Request.ArrivedAt);
+  request.OnTimeUntil = Shared.View.onTimeUntil(Query, Request.ArrivedAt);
   request.Wake = [weak = weak_from_this(), &context = Shared.Context] {
     // Later, since another request may be in the middle of its own choice.
     asio::post(context, [weak] {
@@ -87,7 +89,7 @@
         self->wake();
     });
   };
-  Turn = Shared.Turns->join(Query.Service, std::move(request));
+  Turn = Shared.PlainQueue->join(Query.Service, std::move(request));
 }
 
 void GatewayExchange::leaveTurns(bool served) {
@@ -95,10 +97,10 @@
   if (!turn)
     return;
   if (served)
-    Shared.Turns->onServed(Query.Service, turn);
+    Shared.PlainQueue->onServed(Query.Service, turn);
   else
-    Shared.Turns->leave(Query.Service, turn);
-  Shared.Turns->wakeNext(Query.Service, TimerService::now());
+    Shared.PlainQueue->leave(Query.Service, turn);
+  Shared.PlainQueue->wakeNext(Query.Service, TimerService::now());
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/GatewayListen.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayListen.cpp
@@ -83,7 +83,7 @@
     return reply.respond({NotFound, {}}, "");
   // What a silent owner told must not be named, also right after a suspend.
   onRosters();
-  auto entries = Board.of(query->FailureDomain);
+  auto entries = Board.inDomain(query->FailureDomain);
   if (entries.empty())
     entries = Board.all();
   std::vector<std::string> out;
--- a/Programs/hemlockgladed/Gateway/GatewayMetrics.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayMetrics.cpp
@@ -114,10 +114,10 @@
 }
 
 void Gateway::refresh() {
-  for (const auto &it : View.tidy(TimerService::now()))
+  for (const auto &it : View.removeExpired(TimerService::now()))
     Crashes.onEnded(it);
   Pool.tidy();
-  Crashes.tidy();
+  Crashes.removeExpired();
   Port.Tidy();
   std::size_t waiting = 0;
   for (const auto &it : Exchanges)
--- a/Programs/hemlockgladed/Gateway/GatewayPeers.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayPeers.cpp
@@ -42,21 +42,21 @@
 
 bool Gateway::ownsCells() const {
   return std::any_of(Cells.begin(), Cells.end(),
-                     [](const auto &it) { return it.second->owning(); });
+                     [](const auto &it) { return it.second->isOwner(); });
 }
 
 const CellMember *Gateway::newsFrom() const {
   auto own = Cells.find(Settings.FailureDomain);
-  bool owns = own != Cells.end() && own->second->owning();
+  bool owns = own != Cells.end() && own->second->isOwner();
   // An owner that the registry turns away tells on what others see.
   if (owns && Watch->reachable())
     return nullptr;
-  if (!owns && own != Cells.end() && own->second->fresh())
+  if (!owns && own != Cells.end() && own->second->isUpToDate())
     return own->second.get();
   // In turns, since another owner may be turned away as well.
   std::vector<const CellMember *> others;
   for (const auto &[name, cell] : Cells)
-    if (cell->fresh() && !cell->owning())
+    if (cell->isUpToDate() && !cell->isOwner())
       others.push_back(cell.get());
   if (others.empty())
     return own == Cells.end() ? nullptr : own->second.get();
@@ -82,18 +82,18 @@
 
 void Gateway::onRosters() {
   for (const auto &[name, cell] : Cells)
-    if (const auto *told = cell->rosters())
-      Board.onTold(name, *told);
+    if (const auto *told = cell->servingEntries())
+      Board.update(name, *told);
     else
       Board.forget(name);
   InService = Board.serves(Settings.Name, Settings.FailureDomain);
-  auto part = Board.partOf(Settings.Name, Settings.FailureDomain);
-  Budget.setPart(part);
+  auto part = Board.shareOf(Settings.Name, Settings.FailureDomain);
+  Budget.setTrafficShare(part);
   auto nodes = part > 0 ? std::lround(1 / part) : 1;
-  View.setPart(1.0 / static_cast<double>(nodes));
+  View.setTrafficShare(1.0 / static_cast<double>(nodes));
   Quotas.setEntries(static_cast<std::size_t>(nodes));
-  Crashes.setTurn(std::hash<std::string>{}(Settings.Name),
-                  static_cast<std::size_t>(nodes));
+  Crashes.setTrialSlot(std::hash<std::string>{}(Settings.Name),
+                       static_cast<std::size_t>(nodes));
   bool asked = TimerService::now() - AskedAt < AwakeFor;
   setAwake(InService || ownsCells() || asked,
            InService ? "in service" : "no callers");
@@ -119,7 +119,7 @@
     return;
   // The owners have to tell it what they hold before its callers come.
   for (auto &[name, cell] : Cells)
-    cell->beat();
+    cell->sendHeartbeat();
 }
 
 void Gateway::onPeer(const std::shared_ptr<PeerStream> &stream) {
@@ -156,7 +156,7 @@
         {it.Weights.text(), it.Version, (now - it.NotBefore).count()});
   // 0 says that nothing is known of the age.
   out.OperatorAgeUs =
-      std::max<std::int64_t>(1, Watch->sureDeclaredAge().count());
+      std::max<std::int64_t>(1, Watch->confirmedDeclaredAge().count());
   return out;
 }
 
@@ -164,15 +164,15 @@
   auto out = declaredSince(planVersion);
   out.Crashes = Crashes.since(0);
   for (const auto &it : View.inUse())
-    out.Replicas.emplace_back(it->Life.id(), it->Source);
+    out.Replicas.emplace_back(it->Incarnation.id(), it->Source);
   out.Leases = leasesBut("");
-  out.Knows = Watch->positions();
-  out.OperatorAgeUs = Watch->sureAge().count();
+  out.KnownPositions = Watch->positions();
+  out.OperatorAgeUs = Watch->confirmedAge().count();
   out.ReplicaAgeUs = Watch->replicasAge().count();
   // One that has lapsed is used for a while yet, and its going is told only to
   // nodes that know less.
-  if (View.anyVanishes())
-    out.Knows.Replica = 0;
+  if (View.anyPendingRemoval())
+    out.KnownPositions.Replica = 0;
   return out;
 }
 
@@ -232,13 +232,13 @@
 void Gateway::onBriefing(const BriefingReply &reply, Instant askedAt) {
   OperatorChanges declared;
   if (!reply.PlanText.empty())
-    declared.Plan = Port.Registry.ReadPlan(reply.PlanText);
+    declared.Plan = Port.Registry.ParsePlan(reply.PlanText);
   for (const auto &it : reply.Versions)
     declared.Versions.push_back(
         {WeightsRef::parse(it.Weights), it.Version, askedAt - Span(it.AgeUs)});
   ReplicaChanges replicas;
   for (const auto &[id, source] : reply.Replicas)
-    if (auto it = Port.Registry.ReadReplica(id, source))
+    if (auto it = Port.Registry.ParseReplica(id, source))
       replicas.Present.push_back(std::move(*it));
   if (declared.Plan || !replicas.Present.empty())
     Log.write(
@@ -246,12 +246,12 @@
         {{"plan", declared.Plan ? declared.Plan->version() : 0},
          {"replicas", static_cast<std::uint64_t>(replicas.Present.size())}});
   // A position must not pass what could not be read or is not taken.
-  auto knows = reply.Knows;
+  auto knows = reply.KnownPositions;
   if (!reply.PlanText.empty() && !declared.Plan)
     knows.Operator = 0;
   if (SeenReplicas || replicas.Present.size() < reply.Replicas.size())
     knows.Replica = 0;
-  Crashes.onTold(reply.Crashes);
+  Crashes.onPeerRecords(reply.Crashes);
   onOperator(declared);
   bool tellsAll = reply.PlanText.empty() || declared.Plan;
   if (reply.OperatorAgeUs > 0 && tellsAll)
@@ -264,7 +264,7 @@
     auto cell = Cells.find(name);
     auto row = CellLeaseRow::parse(text);
     if (cell != Cells.end() && row)
-      cell->second->onTold(*row);
+      cell->second->onPeerRow(*row);
   }
 }
 
--- a/Programs/hemlockgladed/Gateway/QuotaLink.cpp
+++ b/Programs/hemlockgladed/Gateway/QuotaService.cpp
@@ -1,4 +1,4 @@
-#include "Programs/hemlockgladed/Gateway/QuotaLink.h"
+#include "Programs/hemlockgladed/Gateway/QuotaService.h"
 
 #include "Hemlockglade/Protocol/Message/CellMessages.h"
 #include "Hemlockglade/Protocol/Message/QuotaMessages.h"
@@ -13,40 +13,41 @@
 
 } // namespace
 
-QuotaLink::QuotaLink(std::vector<std::string> cells, std::string own,
-                     QuotaSettings settings, Hooks hooks, PeerTraffic &traffic,
-                     EventLog &log)
+QuotaService::QuotaService(std::vector<std::string> cells, std::string own,
+                           QuotaSettings settings, Hooks hooks,
+                           PeerTraffic &traffic, EventLog &log)
     : Cells(std::move(cells)), Own(std::move(own)), Setup(settings),
       Out(std::move(hooks)), Traffic(traffic), Log(log),
-      Account(QuotaAccount::Settings{}, settings) {
+      Account(QuotaClient::Settings{}, settings) {
   Account.setCells(Cells, Own);
 }
 
-QuotaLink::~QuotaLink() { *Alive = false; }
+QuotaService::~QuotaService() { *Alive = false; }
 
-void QuotaLink::setPlan(std::shared_ptr<const RoutePlan> plan) {
+void QuotaService::setPlan(std::shared_ptr<const RoutePlan> plan) {
   Plan = std::move(plan);
 }
 
-void QuotaLink::book(const Workspace &workspace, double units,
-                     Decided decided) {
+void QuotaService::reserve(const Workspace &workspace, double units,
+                           OnDecided decided) {
   auto number = ++LastTicket;
-  auto decision = Account.book(number, workspace, units, TimerService::now());
+  auto decision =
+      Account.reserve(number, workspace, units, TimerService::now());
   pumpSoon();
   if (decision)
-    return decided(decision->What, decision->RetryAfter);
+    return decided(decision->Result, decision->RetryAfter);
   Undecided.emplace(number, std::move(decided));
 }
 
-void QuotaLink::charge(const Workspace &workspace, double units) {
+void QuotaService::charge(const Workspace &workspace, double units) {
   Account.charge(workspace, units, TimerService::now());
 }
 
-void QuotaLink::giveBack(const Workspace &workspace, double units) {
-  Account.giveBack(workspace, units, TimerService::now());
+void QuotaService::release(const Workspace &workspace, double units) {
+  Account.release(workspace, units, TimerService::now());
 }
 
-void QuotaLink::pumpSoon() {
+void QuotaService::pumpSoon() {
   // What comes in one turn of the loop goes in one message.
   if (std::exchange(PumpDue, true))
     return;
@@ -56,15 +57,15 @@
   });
 }
 
-void QuotaLink::pump() {
+void QuotaService::pump() {
   PumpDue = false;
-  for (const auto &it : Account.takeAsks(TimerService::now()))
+  for (const auto &it : Account.takeRequests(TimerService::now()))
     sendAsks(it);
 }
 
-void QuotaLink::sendAsks(const QuotaAccount::Message &message) {
+void QuotaService::sendAsks(const QuotaClient::Message &message) {
   auto now = TimerService::now();
-  if (auto grants = grant(message.Cell, message.Asks)) {
+  if (auto grants = grant(message.Cell, message.Requests)) {
     decide(Account.onGrants(message.Cell, message.Number, *grants, now));
     return pumpSoon();
   }
@@ -78,11 +79,12 @@
   closeWay(way);
   if (openWay(message.Cell, way, std::move(text)))
     return;
-  decide(Account.onKeeperLost(message.Cell, now));
+  decide(Account.onServerLost(message.Cell, now));
   pumpSoon();
 }
 
-bool QuotaLink::openWay(const std::string &cell, Way &way, std::string first) {
+bool QuotaService::openWay(const std::string &cell, Way &way,
+                           std::string first) {
   way.Address = Out.OwnerOf(cell);
   if (way.Address.empty() || !Net)
     return false;
@@ -99,7 +101,7 @@
     if (!its.Stream || self->lock() != its.Stream)
       return;
     its.Stream = nullptr;
-    decide(Account.onKeeperLost(cell, TimerService::now()));
+    decide(Account.onServerLost(cell, TimerService::now()));
     pumpSoon();
   };
   way.Stream = Net->open(way.Address, std::string(peer_path::Quota) + cell,
@@ -108,7 +110,7 @@
   return true;
 }
 
-void QuotaLink::closeWay(Way &way) {
+void QuotaService::closeWay(Way &way) {
   auto stream = std::exchange(way.Stream, nullptr);
   if (!stream)
     return;
@@ -116,8 +118,8 @@
   stream->close();
 }
 
-void QuotaLink::onOwnerMessage(const std::string &cell,
-                               std::string_view message) {
+void QuotaService::onOwnerMessage(const std::string &cell,
+                                  std::string_view message) {
   auto reply = unpack<QuotaGrantMessage>(message);
   if (!reply) {
     Log.write(LogClass::State, "message-refused",
@@ -129,24 +131,24 @@
   pumpSoon();
 }
 
-void QuotaLink::decide(std::span<const QuotaAccount::Decision> decisions) {
+void QuotaService::decide(std::span<const QuotaClient::Decision> decisions) {
   for (const auto &it : decisions) {
     auto node = Undecided.extract(it.Number);
     if (!node.empty())
-      node.mapped()(it.What, it.RetryAfter);
+      node.mapped()(it.Result, it.RetryAfter);
   }
 }
 
-QuotaKeeper *QuotaLink::keeperOf(const std::string &cell) {
-  auto epoch = Out.Holds(cell);
+QuotaServer *QuotaService::keeperOf(const std::string &cell) {
+  auto epoch = Out.HeldEpoch(cell);
   if (!epoch || !Plan)
     return nullptr;
   auto &kept = Keepers[cell];
   if (!kept.Keeper)
-    kept.Keeper = std::make_unique<QuotaKeeper>(cell, Setup);
+    kept.Keeper = std::make_unique<QuotaServer>(cell, Setup);
   if (kept.HeldSince != epoch) {
     kept.HeldSince = epoch;
-    kept.Keeper->begin();
+    kept.Keeper->reset();
     kept.Plan = nullptr;
   }
   if (kept.Plan != Plan) {
@@ -163,25 +165,26 @@
 }
 
 std::optional<std::vector<QuotaGrant>>
-QuotaLink::grant(const std::string &cell, std::span<const QuotaAsk> asks) {
+QuotaService::grant(const std::string &cell,
+                    std::span<const QuotaRequest> asks) {
   auto *keeper = keeperOf(cell);
   if (!keeper)
     return std::nullopt;
   std::vector<QuotaGrant> out;
   for (const auto &it : asks)
-    out.push_back(keeper->onAsk(it, TimerService::now()));
+    out.push_back(keeper->onRequest(it, TimerService::now()));
   return out;
 }
 
-void QuotaLink::onEntry(const std::string &cell,
-                        const std::shared_ptr<PeerStream> &stream) {
+void QuotaService::onEntry(const std::string &cell,
+                           const std::shared_ptr<PeerStream> &stream) {
   stream->OnMessage = [this, alive = Alive, cell,
                        weak = std::weak_ptr(stream)](std::string_view message) {
     auto to = weak.lock();
     if (!*alive || !to)
       return;
-    auto asked = unpack<QuotaAskMessage>(message);
-    auto grants = asked ? grant(cell, asksOf(*asked)) : std::nullopt;
+    auto asked = unpack<QuotaRequestMessage>(message);
+    auto grants = asked ? grant(cell, requestsOf(*asked)) : std::nullopt;
     // The entry asks another keeper, and looks who owns the cell.
     if (!grants)
       return to->close();
@@ -191,7 +194,7 @@
   };
 }
 
-void QuotaLink::tick() {
+void QuotaService::tick() {
   auto now = TimerService::now();
   // A bucket fills from when its cell is taken, not from the first ask.
   for (const auto &cell : Cells)
--- a/Programs/hemlockgladed/Gateway/RegistryWatch.cpp
+++ b/Programs/hemlockgladed/Gateway/RegistryWatcher.cpp
@@ -1,24 +1,24 @@
-#include "Programs/hemlockgladed/Gateway/RegistryWatch.h"
+#include "Programs/hemlockgladed/Gateway/RegistryWatcher.h"
 
 namespace hemlockglade {
 
-RegistryWatch::RegistryWatch(TimerService &timers, RegistryHooks registry,
-                             Settings settings, Hooks hooks, EventLog &log)
+RegistryWatcher::RegistryWatcher(TimerService &timers, RegistryHooks registry,
+                                 Settings settings, Hooks hooks, EventLog &log)
     : Timers(timers), Registry(std::move(registry)), Setup(settings),
-      Out(std::move(hooks)), Log(log), OperatorPause(Setup.Pace.Pause),
-      ReplicaPause(Setup.Pace.Pause) {}
+      Out(std::move(hooks)), Log(log), OperatorPause(Setup.Poll.RetryPause),
+      ReplicaPause(Setup.Poll.RetryPause) {}
 
-void RegistryWatch::start(Span firstLookAfter) {
+void RegistryWatcher::start(Span firstLookAfter) {
   planOperator(firstLookAfter);
   planReplicas(firstLookAfter);
 }
 
-bool RegistryWatch::unreachableLately() const {
+bool RegistryWatcher::unreachableLately() const {
   auto failedAt = std::max(OperatorLook.FailedAt, ReplicaLook.FailedAt);
   return TimerService::now() - failedAt < Setup.LapseWindow;
 }
 
-void RegistryWatch::note(LookState &look, bool good) {
+void RegistryWatcher::note(LookState &look, bool good) {
   auto now = TimerService::now();
   if (!good)
     look.FailedAt = now;
@@ -35,8 +35,8 @@
   look.LostAt = now;
 }
 
-void RegistryWatch::logDeclared(const OperatorChanges &changes,
-                                std::string_view from) {
+void RegistryWatcher::logDeclared(const OperatorChanges &changes,
+                                  std::string_view from) {
   if (!changes.Plan && changes.Versions.empty())
     return;
   Log.write(LogClass::State, "declared",
@@ -48,10 +48,10 @@
              {"known_ms_ago", operatorAge()}});
 }
 
-Span RegistryWatch::spared(Instant seenAt, Instant toldAt, Span period,
-                           Span oldest) const {
+Span RegistryWatcher::spared(Instant seenAt, Instant toldAt, Span period,
+                             Span oldest) const {
   auto now = TimerService::now();
-  if (Out.Tells())
+  if (Out.InformsPeers())
     return Span(0);
   // A node that stands by leaves it to others for longer, but callers may come
   // to it, and the registry may turn away just those who tell.
@@ -59,25 +59,25 @@
     return std::max(Span(0),
                     std::min(toldAt + Setup.StandbySilence, seenAt + oldest) -
                         now);
-  if (now - ToldAt > Setup.ToldSilence)
+  if (now - ToldAt > Setup.OwnerSilence)
     return Span(0);
-  auto until = seenAt + period + Setup.ToldSlack;
+  auto until = seenAt + period + Setup.PeerUpdateSlack;
   return std::max(Span(0), until - now);
 }
 
-void RegistryWatch::planOperator(Span pause) {
+void RegistryWatcher::planOperator(Span pause) {
   Timers.after(pause, [this](Instant) { lookAtOperator(); });
 }
 
-void RegistryWatch::planReplicas(Span pause) {
+void RegistryWatcher::planReplicas(Span pause) {
   Timers.after(pause, [this](Instant) { lookAtReplicas(); });
 }
 
-void RegistryWatch::lookAtOperator() {
-  auto left = OperatorPosition
-                  ? spared(OperatorSeenAt, OperatorToldAt,
-                           Setup.Pace.OperatorWait, Setup.Pace.OperatorAge)
-                  : Span(0);
+void RegistryWatcher::lookAtOperator() {
+  auto left = OperatorPosition ? spared(OperatorSeenAt, OperatorToldAt,
+                                        Setup.Poll.MaxOperatorWait,
+                                        Setup.Poll.MaxOperatorAge)
+                               : Span(0);
   if (left > Span(0))
     return planOperator(left);
   OperatorAskedAt = TimerService::now();
@@ -88,15 +88,15 @@
   }
   // A registry that has just failed is asked for an answer at once: a wait
   // would only make it later known that this look is lost as well.
-  OperatorWaits = OperatorLook.Good ? Setup.Pace.OperatorWait : Span(0);
+  OperatorWaits = OperatorLook.Good ? Setup.Poll.MaxOperatorWait : Span(0);
   Registry.WatchOperator(*OperatorPosition, OperatorWaits, done);
 }
 
-void RegistryWatch::onOperator(
+void RegistryWatcher::onOperator(
     const tl::expected<OperatorChanges, RegistryError> &result) {
   if (result) {
     note(OperatorLook, true);
-    OperatorPause = Setup.Pace.Pause;
+    OperatorPause = Setup.Poll.RetryPause;
     takeOperator(*result, "registry");
     // The answer is surely as new as the question, and one without changes as
     // new as the end of its wait. Nothing else speaks for the declarations.
@@ -116,11 +116,11 @@
   planOperator(pauseAfter(first, OperatorPosition.has_value(), OperatorPause));
 }
 
-void RegistryWatch::onDeclared(Span age, Instant askedAt) {
+void RegistryWatcher::onDeclared(Span age, Instant askedAt) {
   DeclaredSeenAt = std::max(DeclaredSeenAt, askedAt - age);
 }
 
-OperatorChanges RegistryWatch::dated(OperatorChanges changes) const {
+OperatorChanges RegistryWatcher::dated(OperatorChanges changes) const {
   // What was not known when the declarations were last sure was declared later.
   // A peer's word counts for nothing here: what it told may come again.
   for (auto &it : changes.Versions)
@@ -128,26 +128,26 @@
   return changes;
 }
 
-void RegistryWatch::confirm(std::function<void(bool known)> done) {
+void RegistryWatcher::confirm(std::function<void(bool known)> done) {
   ConfirmNext.push_back(std::move(done));
   planConfirm();
 }
 
-void RegistryWatch::planConfirm() {
+void RegistryWatcher::planConfirm() {
   if (ConfirmPlanned || ConfirmNumber || ConfirmNext.empty())
     return;
   ConfirmPlanned = true;
-  auto due = ConfirmedAt + Setup.ConfirmEvery - TimerService::now();
+  auto due = ConfirmedAt + Setup.ConfirmInterval - TimerService::now();
   Timers.after(std::max(Span(0), due), [this](Instant) { lookToConfirm(); });
 }
 
-void RegistryWatch::lookToConfirm() {
+void RegistryWatcher::lookToConfirm() {
   ConfirmPlanned = false;
   Confirming = std::exchange(ConfirmNext, {});
   ConfirmedAt = TimerService::now();
   auto number = ConfirmNumber = ++LastConfirm;
   auto askedAt = ConfirmedAt;
-  Timers.after(Setup.ConfirmPatience,
+  Timers.after(Setup.ConfirmTimeout,
                [this, number](Instant) { endConfirm(number, false); });
   auto done = [this, number, askedAt](const auto &result) {
     if (result) {
@@ -163,7 +163,7 @@
     Registry.ReadOperator(done);
 }
 
-void RegistryWatch::endConfirm(std::uint64_t number, bool known) {
+void RegistryWatcher::endConfirm(std::uint64_t number, bool known) {
   if (ConfirmNumber != number)
     return;
   ConfirmNumber = 0;
@@ -172,20 +172,20 @@
   planConfirm();
 }
 
-Span RegistryWatch::pauseAfter(bool firstFailure, bool knowsSome,
-                               Span &pause) const {
+Span RegistryWatcher::pauseAfter(bool firstFailure, bool knowsSome,
+                                 Span &pause) const {
   // One lost look has already taken most of the bound, and need not mean more
   // than a dead connection.
   if (firstFailure && knowsSome)
     return Span(0);
   auto now = pause;
   if (knowsSome)
-    pause = std::min(Setup.Pace.LongestPause, pause * 2);
+    pause = std::min(Setup.Poll.MaxRetryPause, pause * 2);
   return standsBy() ? std::max(now, Setup.StandbyPause) : now;
 }
 
-void RegistryWatch::takeOperator(const OperatorChanges &told,
-                                 std::string_view from) {
+void RegistryWatcher::takeOperator(const OperatorChanges &told,
+                                   std::string_view from) {
   auto changes = dated(told);
   logDeclared(changes, from);
   // What was told meanwhile may be newer. Plans and versions only ever rise.
@@ -193,13 +193,13 @@
   bool news = Seen.onOperator(changes);
   Out.OnOperator(changes);
   if (news)
-    Out.OnNews();
+    Out.OnUpdate();
 }
 
-void RegistryWatch::lookAtReplicas() {
+void RegistryWatcher::lookAtReplicas() {
   auto left = ReplicaPosition
                   ? spared(ReplicasSeenAt, ReplicasToldAt,
-                           Setup.Pace.ReplicaPeriod, Setup.Pace.ReplicaAge)
+                           Setup.Poll.ReplicaPeriod, Setup.Poll.MaxReplicaAge)
                   : Span(0);
   if (left > Span(0))
     return planReplicas(left);
@@ -211,18 +211,18 @@
     Registry.ReadReplicas(done);
 }
 
-void RegistryWatch::onReplicas(
+void RegistryWatcher::onReplicas(
     const tl::expected<ReplicaChanges, RegistryError> &result) {
   if (result) {
     note(ReplicaLook, true);
-    ReplicaPause = Setup.Pace.Pause;
+    ReplicaPause = Setup.Poll.RetryPause;
     // An answer from before what was told meanwhile would bring back replicas
     // that are gone.
     if (result->Position >= ReplicaPosition.value_or(0)) {
       ReplicasSeenAt = std::max(ReplicasSeenAt, ReplicasAskedAt);
       takeReplicas(*result, unreachableLately());
     }
-    return planReplicas(Setup.Pace.ReplicaPeriod);
+    return planReplicas(Setup.Poll.ReplicaPeriod);
   }
   if (result.error() == RegistryError::HistoryGone) {
     ReplicaPosition.reset();
@@ -233,22 +233,23 @@
   planReplicas(pauseAfter(first, ReplicaPosition.has_value(), ReplicaPause));
 }
 
-void RegistryWatch::takeReplicas(const ReplicaChanges &changes,
-                                 bool unreachable) {
+void RegistryWatcher::takeReplicas(const ReplicaChanges &changes,
+                                   bool unreachable) {
   ReplicaPosition = changes.Position;
   bool news = Seen.onReplicas(changes);
   Out.OnReplicas(changes, unreachable);
   if (news)
-    Out.OnNews();
+    Out.OnUpdate();
 }
 
-RegistryPositions RegistryWatch::positions() const {
+RegistryPositions RegistryWatcher::positions() const {
   return {OperatorPosition.value_or(0), ReplicaPosition.value_or(0)};
 }
 
-RegistryNews RegistryWatch::newsSince(const RegistryPositions &known) const {
+RegistryUpdate
+RegistryWatcher::updateSince(const RegistryPositions &known) const {
   auto now = TimerService::now();
-  RegistryNews out;
+  RegistryUpdate out;
   if (auto all = Seen.operators().since(known.Operator)) {
     out.OperatorFrom = known.Operator;
     out.OperatorPosition = Seen.operators().position();
@@ -268,7 +269,7 @@
     for (const auto &it : *all) {
       RegisteredNotice notice{{}, it.Removed};
       for (const auto &at : it.Present)
-        notice.Present.emplace_back(at.Life.id(), at.Source);
+        notice.Present.emplace_back(at.Incarnation.id(), at.Source);
       out.Registered.push_back(std::move(notice));
     }
   }
@@ -276,8 +277,9 @@
   return out;
 }
 
-void RegistryWatch::onBriefed(const RegistryPositions &knows, Span operatorAge,
-                              Span replicasAge, Instant askedAt) {
+void RegistryWatcher::onBriefed(const RegistryPositions &knows,
+                                Span operatorAge, Span replicasAge,
+                                Instant askedAt) {
   auto now = TimerService::now();
   if (!OperatorPosition && knows.Operator) {
     OperatorPosition = knows.Operator;
@@ -294,7 +296,8 @@
   }
 }
 
-void RegistryWatch::onTold(const RegistryNews &news, Instant sentAfter) {
+void RegistryWatcher::onPeerUpdate(const RegistryUpdate &news,
+                                   Instant sentAfter) {
   auto now = TimerService::now();
   if (!news.OperatorPosition && !news.ReplicaPosition)
     return;
@@ -303,8 +306,8 @@
   takeRegistered(news, now);
 }
 
-void RegistryWatch::takeDeclared(const RegistryNews &news, Instant now,
-                                 Instant sentAfter) {
+void RegistryWatcher::takeDeclared(const RegistryUpdate &news, Instant now,
+                                   Instant sentAfter) {
   bool follows = OperatorPosition && *OperatorPosition >= news.OperatorFrom &&
                  *OperatorPosition <= news.OperatorPosition;
   if (!news.OperatorPosition || !follows)
@@ -316,7 +319,7 @@
     OperatorChanges changes;
     changes.Position = news.OperatorPosition;
     if (!it.PlanText.empty()) {
-      changes.Plan = Registry.ReadPlan(it.PlanText);
+      changes.Plan = Registry.ParsePlan(it.PlanText);
       if (!changes.Plan)
         return;
     }
@@ -335,7 +338,7 @@
   OperatorSureAt = std::max(OperatorSureAt, sentAfter - age);
 }
 
-void RegistryWatch::takeRegistered(const RegistryNews &news, Instant now) {
+void RegistryWatcher::takeRegistered(const RegistryUpdate &news, Instant now) {
   bool follows = ReplicaPosition && *ReplicaPosition >= news.ReplicaFrom &&
                  *ReplicaPosition <= news.ReplicaPosition;
   if (!news.ReplicaPosition || !follows)
@@ -346,7 +349,7 @@
     changes.Position = news.ReplicaPosition;
     changes.Removed = it.Removed;
     for (const auto &[id, source] : it.Present) {
-      auto record = Registry.ReadReplica(id, source);
+      auto record = Registry.ParseReplica(id, source);
       if (!record)
         return;
       changes.Present.push_back(std::move(*record));
--- a/Programs/hemlockgladed/Gateway/RegistryWatch.h
+++ b/Programs/hemlockgladed/Gateway/RegistryWatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Registry/LookPace.h"
-#include "Hemlockglade/Coordination/Registry/RegistryLog.h"
+#include "Hemlockglade/Coordination/Registry/RegistryChangeLog.h"
+#include "Hemlockglade/Coordination/Registry/RegistryPollSettings.h"
 #include "Hemlockglade/Protocol/Message/CellMessages.h"
 #include "Hemlockglade/State/Log/EventLog.h"
 #include "Hemlockglade/Transport/Time/TimerService.h"
@@ -11,16 +11,16 @@
 /// Keeps one node up to date with the registry: waits for what operators
 /// declare, and looks at the replicas again and again. A node that an owner
 /// tells of both does not look itself while what it is told is fresh.
-class RegistryWatch {
+class RegistryWatcher {
 public:
   struct Settings {
-    LookPace Pace;
+    RegistryPollSettings Poll;
     /// How much older than the longest time between looks what a node is told
     /// may become before it looks itself: the time between two beats of an
     /// owner, 300 ms, and their way.
-    Span ToldSlack = std::chrono::milliseconds(350);
+    Span PeerUpdateSlack = std::chrono::milliseconds(350);
     /// An owner that has been silent for this long, two beats, tells no more.
-    Span ToldSilence = std::chrono::milliseconds(700);
+    Span OwnerSilence = std::chrono::milliseconds(700);
     /// The same for a node that stands by, which hears another owner then.
     Span StandbySilence = std::chrono::milliseconds(3000);
     /// Least pause after a look that failed, of a node that stands by. It asks
@@ -30,31 +30,31 @@
     Span LapseWindow = std::chrono::milliseconds(4000);
     /// How long who wants the newest declarations waits for them: an answer
     /// takes some 10 ms.
-    Span ConfirmPatience = std::chrono::milliseconds(250);
+    Span ConfirmTimeout = std::chrono::milliseconds(250);
     /// Least time between two looks that are made for that, and age up to which
     /// what is known needs none: it bounds what callers with wrong keys cost.
-    Span ConfirmEvery = std::chrono::milliseconds(100);
+    Span ConfirmInterval = std::chrono::milliseconds(100);
   };
   struct Hooks {
     std::function<void(const OperatorChanges &)> OnOperator;
     std::function<void(const ReplicaChanges &, bool unreachable)> OnReplicas;
     /// Whether this node tells others, so that it has to look itself.
-    std::function<bool()> Tells;
+    std::function<bool()> InformsPeers;
     /// Whether this node serves no callers, so that it can leave looks to
     /// others for longer; never if not set.
     std::function<bool()> StandsBy;
     /// There is something new to tell.
-    std::function<void()> OnNews;
+    std::function<void()> OnUpdate;
   };
 
-  RegistryWatch(TimerService &timers, RegistryHooks registry, Settings settings,
-                Hooks hooks, EventLog &log);
+  RegistryWatcher(TimerService &timers, RegistryHooks registry,
+                  Settings settings, Hooks hooks, EventLog &log);
 
   /// Looks for the first time after a while, unless another node tells all
   /// before.
   void start(Span firstLookAfter);
   /// An owner tells what it saw; it sent that after `sentAfter`.
-  void onTold(const RegistryNews &news, Instant sentAfter);
+  void onPeerUpdate(const RegistryUpdate &news, Instant sentAfter);
   /// Another node has told all that it knows, complete up to these positions.
   /// From there on this node goes by news; what it has seen itself holds. The
   /// node that tells was asked at `askedAt`.
@@ -64,7 +64,7 @@
   /// declared at the time of the call is known, or can't be had in time.
   void confirm(std::function<void(bool known)> done);
   /// What to tell a node that knows the registry up to these positions.
-  RegistryNews newsSince(const RegistryPositions &known) const;
+  RegistryUpdate updateSince(const RegistryPositions &known) const;
   RegistryPositions positions() const;
   /// Whether the last looks of both kinds succeeded.
   bool reachable() const { return OperatorLook.Good && ReplicaLook.Good; }
@@ -81,8 +81,8 @@
   }
   /// What to tell others of that age: time that messages to this node were on
   /// their way never makes it shorter.
-  Span sureAge() const { return TimerService::now() - OperatorSureAt; }
-  Span sureDeclaredAge() const {
+  Span confirmedAge() const { return TimerService::now() - OperatorSureAt; }
+  Span confirmedDeclaredAge() const {
     return TimerService::now() - std::max(OperatorSureAt, DeclaredSeenAt);
   }
   Span replicasAge() const { return TimerService::now() - ReplicasSeenAt; }
@@ -97,8 +97,8 @@
   OperatorChanges dated(OperatorChanges changes) const;
   void takeOperator(const OperatorChanges &told, std::string_view from);
   void takeReplicas(const ReplicaChanges &changes, bool unreachable);
-  void takeDeclared(const RegistryNews &news, Instant now, Instant sentAfter);
-  void takeRegistered(const RegistryNews &news, Instant now);
+  void takeDeclared(const RegistryUpdate &news, Instant now, Instant sentAfter);
+  void takeRegistered(const RegistryUpdate &news, Instant now);
   void planConfirm();
   void lookToConfirm();
   /// Those who wait are told, whatever came of it.
@@ -132,7 +132,7 @@
   EventLog &Log;
   std::optional<std::uint64_t> OperatorPosition;
   std::optional<std::uint64_t> ReplicaPosition;
-  RegistryLog Seen{RegistryLog::Settings{}};
+  RegistryChangeLog Seen{RegistryChangeLog::Settings{}};
   /// When the registry was as this node knows it, at the latest.
   Instant OperatorSeenAt{LongAgo};
   Instant ReplicasSeenAt{LongAgo};
--- a/Programs/hemlockgladed/Node.cpp
+++ b/Programs/hemlockgladed/Node.cpp
@@ -121,7 +121,7 @@
     auto known = Leases->cells();
     auto it = known.find(cell.Cell);
     if (it == known.end() || it->second.Owner != cell.Owner)
-      Leases->look(cell.Cell);
+      Leases->refreshCell(cell.Cell);
   };
   return hooks;
 }
@@ -167,7 +167,7 @@
     Cells.leave(request);
   };
   hooks->Claim = [this](const ExchangeRequest &request,
-                        ClaimBook::OnAnswer done) {
+                        ClaimStore::OnAnswer done) {
     ClaimRequest claim;
     claim.Scope = request.Admit.Cell.substr(0, request.Admit.Cell.find('/'));
     claim.Key = request.IdempotencyKey;
@@ -199,19 +199,19 @@
     if (!record.FormerOwner.empty())
       former = {record.FormerOwner, record.FormerIncarnation};
     Cells.own(cell, fence, former);
-    Members->tellCell({cell, Settings.Name, fence});
+    Members->announceCell({cell, Settings.Name, fence});
   };
   hooks.OnLost = [this](const std::string &cell) { Cells.lose(cell); };
   return hooks;
 }
 
-std::shared_ptr<ClaimBook> Node::newClaimBook() {
+std::shared_ptr<ClaimStore> Node::newClaimBook() {
   ClaimHooks hooks;
   hooks.WallMs = &wallMs;
   hooks.After = after();
-  return std::make_shared<ClaimBook>(ClaimSettings{},
-                                     Settings.Name + '-' + Incarnation,
-                                     Metrics.timed(Platform.table()), hooks);
+  return std::make_shared<ClaimStore>(ClaimSettings{},
+                                      Settings.Name + '-' + Incarnation,
+                                      Metrics.timed(Platform.table()), hooks);
 }
 
 void Node::start() {
@@ -229,7 +229,7 @@
   lease.RenewInterval = Settings.RenewInterval;
   lease.ScanInterval = Settings.ScanInterval;
   lease.SettleTime = 2 * Settings.ScanInterval;
-  Leases = std::make_shared<LeaseKeeper>(
+  Leases = std::make_shared<LeaseManager>(
       lease, self, Metrics.timed(Platform.table()), leaseHooks());
   Members.start(*Peers, memberRecord(), std::hash<std::string>{}(Incarnation));
   subscribe();
@@ -416,7 +416,7 @@
   // Only what the table says is told: the others look there at once.
   for (const auto &[name, record] : Leases->cells()) {
     if (record.Owner.empty() && record.FormerOwner == Settings.Name)
-      Members->tellCell({name, "", record.Fence});
+      Members->announceCell({name, "", record.Fence});
   }
 }
 
--- a/Programs/hemlockgladed/Node.h
+++ b/Programs/hemlockgladed/Node.h
@@ -45,7 +45,7 @@
   AdminFrontHooks adminHooks();
   std::shared_ptr<const ExchangeHooks> exchangeHooks();
   LeaseHooks leaseHooks();
-  std::shared_ptr<ClaimBook> newClaimBook();
+  std::shared_ptr<ClaimStore> newClaimBook();
   std::function<void(Span, std::function<void()>)> after();
 
   std::vector<std::string> addressesFor(const DirectoryQuery &query) const;
@@ -70,7 +70,7 @@
   HttpClient ControlClient;
   EngineClient Engines;
   PlatformClient Platform;
-  std::shared_ptr<LeaseKeeper> Leases;
+  std::shared_ptr<LeaseManager> Leases;
   ConfigLink Config;
   MembershipLink Members;
   OwnedCells Cells;
@@ -78,7 +78,7 @@
   CallerFront Callers;
   AdminFront Admin;
   std::shared_ptr<const ExchangeHooks> Exchanges;
-  std::shared_ptr<ClaimBook> Claims;
+  std::shared_ptr<ClaimStore> Claims;
   RetryPolicy Retries;
   std::unique_ptr<HttpServer> Http;
   std::unique_ptr<PeerNet> Peers;
--- a/Programs/hemlockgladed/OwnedCells.h
+++ b/Programs/hemlockgladed/OwnedCells.h
@@ -67,7 +67,7 @@
   EngineClient &Engines;
   OwnedCellsHooks Hooks;
   RunningRequests Register;
-  RecoveryKeeper Keeper;
+  RecoveryCoordinator Keeper;
   std::shared_ptr<RecoveryLinks> Links;
 
   mutable std::mutex Mutex;
--- a/Programs/hemlockgladed/RecoveryLinks.cpp
+++ b/Programs/hemlockgladed/RecoveryLinks.cpp
@@ -15,7 +15,7 @@
                              RecoveryLinksHooks hooks)
     : Self(std::move(self)), Register(register_), Hooks(std::move(hooks)) {}
 
-void RecoveryLinks::attach(PeerNet &net, RecoveryKeeper &keeper) {
+void RecoveryLinks::attach(PeerNet &net, RecoveryCoordinator &keeper) {
   Net = &net;
   Keeper = &keeper;
 }
--- a/Programs/hemlockgladed/RecoveryLinks.h
+++ b/Programs/hemlockgladed/RecoveryLinks.h
@@ -25,7 +25,7 @@
                 RecoveryLinksHooks hooks);
 
   /// Gives the network and the keeper, once there are such.
-  void attach(PeerNet &net, RecoveryKeeper &keeper);
+  void attach(PeerNet &net, RecoveryCoordinator &keeper);
 
   /// Asks a node for the running requests of the cell.
   void ask(const RecoveryNode &node, const std::string &cell, Epoch fence);
@@ -58,7 +58,7 @@
   RunningRequests &Register;
   RecoveryLinksHooks Hooks;
   PeerNet *Net = nullptr;
-  RecoveryKeeper *Keeper = nullptr;
+  RecoveryCoordinator *Keeper = nullptr;
 
   mutable std::mutex Mutex;
   /// By node and incarnation, and cell.
--- a/UnitTests/Coordination/Claim/ClaimFiguresTest.cpp
+++ b/UnitTests/Coordination/Claim/ClaimFiguresTest.cpp
@@ -28,7 +28,8 @@
   hooks.After = [&](Span delay, std::function<void()> call) {
     time.after(delay, std::move(call));
   };
-  auto book = std::make_shared<ClaimBook>(settings, "n1", table.hooks(), hooks);
+  auto book =
+      std::make_shared<ClaimStore>(settings, "n1", table.hooks(), hooks);
   constexpr int count = 2000;
   for (int it = 0; it < count; ++it) {
     bool repeat = repeatEvery && it % repeatEvery == repeatEvery - 1;
--- a/UnitTests/Coordination/Claim/ClaimBookTest.cpp
+++ b/UnitTests/Coordination/Claim/ClaimStoreTest.cpp
@@ -19,14 +19,14 @@
       Books.push_back(start());
   }
 
-  std::shared_ptr<ClaimBook> start() {
+  std::shared_ptr<ClaimStore> start() {
     ClaimHooks hooks;
     hooks.WallMs = [this] { return Time.now().count() / 1000; };
     hooks.After = [this](Span delay, std::function<void()> call) {
       Time.after(delay, std::move(call));
     };
-    return std::make_shared<ClaimBook>(Settings, "n" + std::to_string(++Named),
-                                       tableHooks(), hooks);
+    return std::make_shared<ClaimStore>(Settings, "n" + std::to_string(++Named),
+                                        tableHooks(), hooks);
   }
 
   /// Claims and answers at once with what comes back.
@@ -52,7 +52,7 @@
   ClaimSettings Settings;
   /// Whether reads of single rows are answered.
   bool ReadBack = true;
-  std::vector<std::shared_ptr<ClaimBook>> Books;
+  std::vector<std::shared_ptr<ClaimStore>> Books;
   int Requests = 0;
 
 private:
--- a/UnitTests/Coordination/Config/ConfigWorld.h
+++ b/UnitTests/Coordination/Config/ConfigWorld.h
@@ -26,7 +26,7 @@
 class ConfigWorld {
 public:
   struct Node {
-    std::shared_ptr<ConfigKeeper> Keeper;
+    std::shared_ptr<ConfigReplicator> Keeper;
     bool Cut = false;
     std::vector<ConfigAnswer> OldAnswers;
     Revision InForce = 0;
@@ -70,7 +70,7 @@
     auto &node = Nodes[name];
     node = {};
     node.Start = ++Starts;
-    node.Keeper = std::make_shared<ConfigKeeper>(Settings, hooks(name));
+    node.Keeper = std::make_shared<ConfigReplicator>(Settings, hooks(name));
     return node;
   }
 
--- a/UnitTests/Coordination/Crash/CrashSceneTest.cpp
+++ b/UnitTests/Coordination/Crash/CrashSceneTest.cpp
@@ -1,7 +1,7 @@
 // A pool of engines in virtual time, whose engines end for many reasons while
 // requests run, are repeated and come again.
 
-#include "Hemlockglade/Coordination/Crash/CrashBook.h"
+#include "Hemlockglade/Coordination/Crash/CrashTracker.h"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -195,7 +195,7 @@
   Scene Setup;
   std::mt19937_64 Random;
   Instant Now{};
-  CrashBook Book;
+  CrashTracker Book;
   std::array<Engine, Engines> All;
   std::uint64_t Lives = 0;
   RequestKey CrashingKey{{1}};
--- a/UnitTests/Coordination/Decision/CoreWorld.h
+++ b/UnitTests/Coordination/Decision/CoreWorld.h
@@ -254,7 +254,7 @@
     if (what < 93)
       return send(OperatorLoad{replica, 1 + random(Form.Adapters)});
     if (what < 95)
-      return send(TurnChanged{1 + random(2), 1.0 + random(5)});
+      return send(LoadLimitChanged{1 + random(2), 1.0 + random(5)});
     leave();
   }
 
--- a/UnitTests/Coordination/Decision/OrderPlannerTest.cpp
+++ b/UnitTests/Coordination/Decision/OrderPlannerTest.cpp
@@ -15,13 +15,13 @@
     CHECK(core.loaded(1) == "admit 1@1, load 2@1");
   }
   SECTION("two at a time") {
-    core.send(TurnChanged{2, 3});
+    core.send(LoadLimitChanged{2, 3});
     core.arrive(1, 1);
     CHECK(core.arrive(2, 2) == "load 2@1");
     CHECK(core.arrive(3, 3).empty());
   }
   SECTION("half a load a second, with two saved up") {
-    core.send(TurnChanged{1, 0.5});
+    core.send(LoadLimitChanged{1, 0.5});
     std::string all;
     for (AdapterKey it = 1; it <= 4; ++it) {
       all += core.arrive(it, it) + ";";
@@ -72,7 +72,7 @@
 
 TEST_CASE("a failing load is tried after 0.5, 1, 2 and 4 s", "[orders]") {
   CellCoreSettings settings;
-  settings.Turn.StoreFailures = 100;
+  settings.LoadLimits.StoreFailures = 100;
   CoreProbe core(settings);
   core.replicas(1, 8, 8);
   core.arrive(1, 1, 1, 19s);
--- a/UnitTests/Coordination/Decision/RequestDeskTest.cpp
+++ b/UnitTests/Coordination/Decision/RequestAdmissionTest.cpp
@@ -46,7 +46,7 @@
   settings.Retries = {0, 0};
   CoreProbe core(settings);
   core.replicas(1, 1, 1);
-  core.send(TurnChanged{1, 2.0});
+  core.send(LoadLimitChanged{1, 2.0});
   core.send(RuleChanged{99, {42}});
   RequestArrived event{50, 9, 1, core.Now + 18s};
   std::string reason;
@@ -114,7 +114,7 @@
       {{2.0, Span(4s), Span(6s)}, {0.5, Span(16s), Span(22s)}}));
   CoreProbe core;
   core.replicas(1, 1, 32);
-  core.send(TurnChanged{1, rate});
+  core.send(LoadLimitChanged{1, rate});
   for (RequestKey it = 1; it <= 10; ++it)
     core.arrive(it, static_cast<AdapterKey>(it), 1, 19s);
   CHECK(core.arrive(50, 50, 1, 1s) == "refuse 50 deadline-infeasible");
@@ -197,7 +197,7 @@
                                                       {14, 1, true}}));
   CoreProbe core;
   core.replicas(1, 64, 64);
-  core.send(TurnChanged{1, 1});
+  core.send(LoadLimitChanged{1, 1});
   core.arrive(100, 100, 2);
   for (AdapterKey it = 1; it <= waiting; ++it)
     REQUIRE(core.arrive(it, it, 2).empty());
--- a/UnitTests/Coordination/Entries/EntryRosterTest.cpp
+++ b/UnitTests/Coordination/Entries/EntrySelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Entries/EntryBoard.h"
+#include "Hemlockglade/Coordination/Entries/ServingEntries.h"
 
 #include "UnitTests/Coordination/CheckMany.h"
 
@@ -13,8 +13,8 @@
 
 using std::chrono::seconds;
 
-constexpr HostMeans Strong{0.5, 200};
-constexpr HostMeans Weak{0.12, 20};
+constexpr HostCapacity Strong{0.5, 200};
+constexpr HostCapacity Weak{0.12, 20};
 
 std::vector<EntryCandidate> hosts(std::size_t strong, std::size_t weak) {
   std::vector<EntryCandidate> out;
@@ -31,7 +31,7 @@
 
 std::vector<EntryCandidate> choose(const std::vector<EntryCandidate> &ready,
                                    double perSecond) {
-  EntryRoster roster({});
+  EntrySelector roster({});
   return roster.choose(ready, requests(perSecond), seconds(1));
 }
 
@@ -51,7 +51,7 @@
   double perSecond = GENERATE(50, 100, 200, 400);
   std::size_t strong = GENERATE(0, 3);
   auto chosen = choose(hosts(strong, 60), perSecond);
-  EntryRoster::Settings setup;
+  EntrySelector::Settings setup;
   auto each = requests(perSecond / static_cast<double>(chosen.size()));
   for (const auto &it : chosen)
     CHECK(setup.Cost.shareOf(it.Host, each) <= setup.Fill);
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE("the choice grows at once and shrinks late", "[entries]") {
-  EntryRoster roster({});
+  EntrySelector roster({});
   auto ready = hosts(0, 40);
   auto most = roster.choose(ready, requests(300), seconds(1)).size();
   CHECK(most > 3);
@@ -91,7 +91,7 @@
     auto all = hosts(*rc::gen::inRange<std::size_t>(0, 4),
                      *rc::gen::inRange<std::size_t>(1, 30));
     auto perSecond = *rc::gen::inRange(0, 400);
-    EntryRoster roster({});
+    EntrySelector roster({});
     std::set<std::string> lost;
     Instant now = seconds(1);
     for (int step = 0; step < 12; ++step) {
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE("a measured load follows the requests", "[entries]") {
-  EntryMeter meter;
+  EntryLoadMeter meter;
   Instant now = seconds(100);
   for (int n = 0; n < 400; ++n) {
     now += std::chrono::milliseconds(20);
@@ -125,20 +125,20 @@
 }
 
 TEST_CASE("the own cell's owner is believed before another", "[entries]") {
-  EntryBoard board;
-  CHECK(board.of("a").empty());
-  CHECK(board.partOf("n", "a") == 0);
-  board.onTold("b", {{"a", {{"old", "1", {}}}}, {"b", {{"m", "2", {}}}}});
-  CHECK(board.of("a").front().Node == "old");
-  board.onTold("a", {{"a", {{"n", "3", {}}, {"k", "4", {}}}}});
-  CHECK(board.of("a").front().Node == "n");
+  ServingEntries board;
+  CHECK(board.inDomain("a").empty());
+  CHECK(board.shareOf("n", "a") == 0);
+  board.update("b", {{"a", {{"old", "1", {}}}}, {"b", {{"m", "2", {}}}}});
+  CHECK(board.inDomain("a").front().Node == "old");
+  board.update("a", {{"a", {{"n", "3", {}}, {"k", "4", {}}}}});
+  CHECK(board.inDomain("a").front().Node == "n");
   CHECK(board.serves("n", "a"));
   CHECK_FALSE(board.serves("old", "a"));
   CHECK(board.all().size() == 3);
-  CHECK(board.partOf("n", "a") == Approx(1.0 / 3));
-  CHECK(board.partOf("old", "a") == 0);
+  CHECK(board.shareOf("n", "a") == Approx(1.0 / 3));
+  CHECK(board.shareOf("old", "a") == 0);
   board.forget("a");
-  CHECK(board.of("a").front().Node == "old");
+  CHECK(board.inDomain("a").front().Node == "old");
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Lease/LeaseFailureTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseFailureTest.cpp
@@ -197,7 +197,7 @@
     for (Span it{}; it < span; it += 1s) {
       fleet.run(1s);
       if (auto self = first.Keeper->self(); self && !first.Dead)
-        second.Keeper->noteNode(*self);
+        second.Keeper->onNodeRow(*self);
     }
   };
   talk(60s);
@@ -209,9 +209,9 @@
   SECTION("a handover is told") {
     first.Keeper->release([] {});
     fleet.run(100ms);
-    second.Keeper->noteNode(*first.Keeper->self());
+    second.Keeper->onNodeRow(*first.Keeper->self());
     for (const auto &cell : fleet.Cells)
-      second.Keeper->noteCell(cell, *first.Keeper->cell(cell));
+      second.Keeper->onCellRow(cell, *first.Keeper->cell(cell));
     fleet.run(100ms);
     REQUIRE(second.Owned.size() == fleet.Cells.size());
   }
--- a/UnitTests/Coordination/Lease/LeaseFigures.h
+++ b/UnitTests/Coordination/Lease/LeaseFigures.h
@@ -125,7 +125,7 @@
       auto self = from->Keeper->self();
       if (self &&
           std::exchange(Told[from.get()], self->Version) != self->Version)
-        tellAll([&](LeaseKeeper &to) { to.noteNode(*self); });
+        tellAll([&](LeaseManager &to) { to.onNodeRow(*self); });
       if (self && self->Record.Leaving) {
         for (const auto &cell : Fleet.Cells)
           tellCell(*from, cell);
@@ -140,7 +140,7 @@
     if (!sight || sight->Version <= ToldCells[cell])
       return;
     ToldCells[cell] = sight->Version;
-    tellAll([&](LeaseKeeper &to) { to.noteCell(cell, *sight); });
+    tellAll([&](LeaseManager &to) { to.onCellRow(cell, *sight); });
   }
 
   template <typename Call> void tellAll(Call call) {
--- a/UnitTests/Coordination/Lease/LeaseFleet.h
+++ b/UnitTests/Coordination/Lease/LeaseFleet.h
@@ -23,7 +23,7 @@
 
 /// A lease keeper with a drifting clock that can be paused and killed.
 struct LeaseHost {
-  std::shared_ptr<LeaseKeeper> Keeper;
+  std::shared_ptr<LeaseManager> Keeper;
   double Rate = 1;
   Span Offset{};
   bool Paused = false;
@@ -93,7 +93,7 @@
         Switches.NewIncarnation ? std::to_string(Hosts.size()) : "same";
     NodeRecord self{name, "i" + incarnation, "c-" + name, "p-" + name, "d"};
     host.Keeper =
-        std::make_shared<LeaseKeeper>(Settings, self, hooksOf(host), hooks);
+        std::make_shared<LeaseManager>(Settings, self, hooksOf(host), hooks);
     Current[name] = &host;
     return host;
   }
--- a/UnitTests/Coordination/Lease/LeaseLookTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseLookTest.cpp
@@ -38,7 +38,7 @@
   for (auto &host : fleet.Hosts) {
     for (const auto &cell : fleet.unheld()) {
       if (told && host.get() != &owner)
-        host->Keeper->look(cell);
+        host->Keeper->refreshCell(cell);
     }
   }
   fleet.run(100ms);
@@ -59,7 +59,7 @@
   auto &others = fleet.Current;
   for (const auto &[name, host] : others) {
     if (host != &owner)
-      host->Keeper->look(cell);
+      host->Keeper->refreshCell(cell);
   }
   fleet.run(50ms);
   for (const auto &[name, host] : others) {
--- a/UnitTests/Coordination/Lease/LeaseThreadsTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseThreadsTest.cpp
@@ -79,14 +79,14 @@
   hooks.Now = [&] { return Instant(clock += 100); };
   hooks.OnOwned = [&](const auto &, Epoch) { ++owned; };
   hooks.OnLost = [&](const auto &) { --owned; };
-  auto keeper = std::make_shared<LeaseKeeper>(
+  auto keeper = std::make_shared<LeaseManager>(
       LeaseSettings{}, NodeRecord{"a", "i", "", "", "", false}, table.hooks(),
       hooks);
   std::vector<std::string> cells{"x", "y", "z"};
   onThreads(200, [&](int thread) {
     if (thread < 2)
       keeper->round(cells);
-    keeper->noteNode({{"b", "j", "", "", "", false}, 1});
+    keeper->onNodeRow({{"b", "j", "", "", "", false}, 1});
     keeper->holds("x");
     keeper->nodes();
     keeper->ownerOf("y");
@@ -103,7 +103,7 @@
   hooks.WallMs = [] { return 1000; };
   hooks.After = [](Span, const auto &call) { call(); };
   auto book =
-      std::make_shared<ClaimBook>(ClaimSettings{}, "a", table.hooks(), hooks);
+      std::make_shared<ClaimStore>(ClaimSettings{}, "a", table.hooks(), hooks);
   std::atomic<int> answers = 0;
   std::atomic<int> claimed = 0;
   std::array<std::atomic<int>, 4> next{};
--- a/UnitTests/Coordination/LeaseKeeperTest.cpp
+++ b/UnitTests/Coordination/LeaseManagerTest.cpp
@@ -18,8 +18,8 @@
   };
   hooks.OnLost = [](const std::string &) {};
   NodeRecord self{"entry-1", "a", "127.0.0.1:1", "127.0.0.1:2", "hall-a"};
-  auto keeper = std::make_shared<LeaseKeeper>(LeaseSettings{}, self,
-                                              table.hooks(), hooks);
+  auto keeper = std::make_shared<LeaseManager>(LeaseSettings{}, self,
+                                               table.hooks(), hooks);
   for (int it = 0; it < 3; ++it) {
     keeper->round({"assistant/0"});
     time.advance(1s);
--- a/UnitTests/Coordination/Membership/MembershipTest.cpp
+++ b/UnitTests/Coordination/Membership/MembershipTest.cpp
@@ -201,8 +201,8 @@
 TEST_CASE("cells and revisions are known everywhere", "[membership]") {
   MemberWorld world(6);
   gather(world, 30);
-  world.at(3).tellCell({"assistant/0", "entry-3", 5});
-  world.at(4).tellCell({"assistant/0", "entry-4", 4});
+  world.at(3).announceCell({"assistant/0", "entry-3", 5});
+  world.at(4).announceCell({"assistant/0", "entry-4", 4});
   world.Nodes[MemberWorld::name(9)].InForce = 17;
   world.at(9).watchRevision(17, world.Time.now() + 60s);
   auto known = [&] {
@@ -227,7 +227,7 @@
   auto &teller = world.Nodes[MemberWorld::name(3)];
   teller.Bytes = 0;
   for (int it = 0; it < 20; ++it)
-    world.at(3).tellCell({"assistant/" + std::to_string(it), "entry-3", 5});
+    world.at(3).announceCell({"assistant/" + std::to_string(it), "entry-3", 5});
   world.run(50ms);
   REQUIRE(world.all([](const MemberWorld::Node &node) {
     return node.Member->ownerOf("assistant/19").has_value();
