--- a/UnitTests/Coordination/Orders/CellLeaseTest.cpp
+++ b/UnitTests/Coordination/Orders/CellLeaseTest.cpp
@@ -82,14 +82,16 @@
   SECTION("a lease that has run out is taken over though its holder talks") {
     for (int it = 0; it < 160; ++it) {
       world.run(LeaseStep);
-      other.Lease->onHeard(first->Lease->version(), first->Lease->remaining());
+      other.Lease->onHolderHeartbeat(first->Lease->version(),
+                                     first->Lease->remaining());
     }
     CHECK(world.holder() == &other);
   }
   SECTION("one that lasts is not") {
     for (int it = 0; it < 160; ++it) {
       world.run(LeaseStep);
-      other.Lease->onHeard(first->Lease->version(), milliseconds(1000));
+      other.Lease->onHolderHeartbeat(first->Lease->version(),
+                                     milliseconds(1000));
     }
     CHECK_FALSE(other.Lease->held());
   }
@@ -108,7 +110,8 @@
   auto runTold = [&](Span span) {
     for (Span gone{0}; gone < span; gone += LeaseStep) {
       world.run(LeaseStep);
-      other.Lease->onHeard(first->Lease->version(), first->Lease->remaining());
+      other.Lease->onHolderHeartbeat(first->Lease->version(),
+                                     first->Lease->remaining());
     }
   };
   // Renewals move the row on while the other node only hears of them.
@@ -130,7 +133,7 @@
   auto &other =
       first == world.Hosts[0].get() ? *world.Hosts[1] : *world.Hosts[0];
   auto tell = [&](Span remaining) {
-    other.Lease->onHeard(first->Lease->version(), remaining);
+    other.Lease->onHolderHeartbeat(first->Lease->version(), remaining);
   };
   first->Cut = true;
   world.run(LeaseStep);
@@ -188,7 +191,7 @@
   LeaseWorld world(10, 1);
   auto &host = *world.Hosts[0];
   host.Cut = true;
-  host.Lease->onTold({"host-9", "host-9-1", "10.0.0.9:7", 4, false, true});
+  host.Lease->onPeerRow({"host-9", "host-9-1", "10.0.0.9:7", 4, false, true});
   world.run(milliseconds(10000));
   CHECK_FALSE(host.Lease->held());
   REQUIRE(host.Lease->row());
@@ -274,7 +277,7 @@
                                 remaining = from->Lease->remaining(),
                                 held = from->Lease->held()] {
                                  if (held)
-                                   lease->onHeard(version, remaining);
+                                   lease->onHolderHeartbeat(version, remaining);
                                });
       }
     }
--- a/UnitTests/Coordination/Orders/CellDeskTest.cpp
+++ b/UnitTests/Coordination/Orders/CellPlacementTest.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -65,13 +65,13 @@
       : Plan(planWith(places, rate)) {
     for (int it = 0; it < replicas; ++it) {
       FakeEngine engine;
-      engine.Record.Life = ReplicaLife("i-" + std::to_string(it));
+      engine.Record.Incarnation = ReplicaIncarnation("i-" + std::to_string(it));
       engine.Record.Service = Service;
       engine.Record.Slots = 8;
       engine.Held[{Model, {}}] = 1;
       engine.Record.Held = engine.Held;
       engine.Places = places;
-      Engines[engine.Record.Life.text()] = engine;
+      Engines[engine.Record.Incarnation.text()] = engine;
     }
     show();
   }
@@ -89,7 +89,7 @@
     auto actions = Desk.plan(true, Now);
     for (const auto &it : actions) {
       auto &engine = Engines[it.Replica];
-      if (it.What == DeskAction::Kind::Report) {
+      if (it.Type == PlacementAction::Kind::Report) {
         Desk.onReport(it.Replica,
                       HoldingsReport{engine.Held, {}, false, engine.Count, {}},
                       Now);
@@ -123,7 +123,7 @@
   Instant Now = std::chrono::seconds(1000);
   std::shared_ptr<const RoutePlan> Plan;
   std::map<std::string, FakeEngine> Engines;
-  CellDesk Desk{CellDesk::Settings{}};
+  CellPlacement Desk{CellPlacement::Settings{}};
   std::vector<std::pair<std::string, EngineOrder>> Late;
 };
 
@@ -133,7 +133,7 @@
   DeskWorld world(3);
   world.rounds(2);
   for (int it = 0; it < 5; ++it)
-    world.Desk.onWant(Service, adapter(1), world.Now);
+    world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(10);
   CHECK(world.copies(adapter(1)) == 1);
 }
@@ -143,11 +143,11 @@
   DeskWorld world(3, 1);
   world.rounds(2);
   for (int n = 1; n <= 3; ++n)
-    world.Desk.onWant(Service, adapter(n), world.Now);
+    world.Desk.onWaiting(Service, adapter(n), world.Now);
   world.rounds(20);
   world.Now += std::chrono::seconds(10);
   for (int it = 0; it < 5; ++it) {
-    world.Desk.onWant(Service, adapter(9), world.Now);
+    world.Desk.onWaiting(Service, adapter(9), world.Now);
     world.rounds(1);
   }
   world.rounds(10);
@@ -158,21 +158,21 @@
 
 TEST_CASE("nothing is ordered without the right to", "[desk]") {
   DeskWorld world(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   CHECK(world.Desk.plan(false, world.Now).empty());
 }
 
 TEST_CASE("what is wanted least makes room", "[desk]") {
   DeskWorld world(1, 2);
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
-  world.Desk.onWant(Service, adapter(2), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(2), world.Now);
   world.rounds(10);
   for (int it = 0; it < 20; ++it)
     world.Desk.onDemand(Service, adapter(1), 1, world.Now);
   world.Desk.onDemand(Service, adapter(2), 1, world.Now);
   world.Now += std::chrono::seconds(4);
-  world.Desk.onWant(Service, adapter(3), world.Now);
+  world.Desk.onWaiting(Service, adapter(3), world.Now);
   world.rounds(10);
   CHECK(world.copies(adapter(1)) == 1);
   CHECK(world.copies(adapter(2)) == 0);
@@ -182,7 +182,7 @@
 TEST_CASE("an adapter goes back to the replica that dropped it", "[desk]") {
   DeskWorld world(4, 1);
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(10);
   std::string first;
   for (const auto &[id, it] : world.Engines)
@@ -191,12 +191,12 @@
   REQUIRE_FALSE(first.empty());
   for (int n = 2; n <= 5; ++n) {
     world.Now += std::chrono::seconds(3);
-    world.Desk.onWant(Service, adapter(n), world.Now);
+    world.Desk.onWaiting(Service, adapter(n), world.Now);
     world.rounds(10);
   }
   REQUIRE(world.copies(adapter(1)) == 0);
   world.Now += std::chrono::seconds(5);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(10);
   CHECK(world.Engines[first].Held.contains(adapter(1)));
 }
@@ -204,12 +204,12 @@
 TEST_CASE("a newer version gets a copy beside the older one", "[desk]") {
   DeskWorld world(2);
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(10);
   world.Desk.setVersion(adapter(1), 7);
   // So few that one copy is enough for them.
   world.Desk.onDemand(Service, adapter(1), 2, world.Now);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(10);
   std::size_t newer = 0;
   for (const auto &[id, it] : world.Engines) {
@@ -222,7 +222,7 @@
 TEST_CASE("demand that jumps gets its copies within a second", "[desk]") {
   DeskWorld world(4);
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   // Fourteen requests a second, from none before.
   for (int it = 0; it < 14; ++it) {
     world.Desk.onDemand(Service, adapter(1), 1, world.Now);
@@ -235,11 +235,11 @@
 TEST_CASE("what presses for a moment does not get all engines", "[desk]") {
   DeskWorld world(6);
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   for (int it = 0; it < 30; ++it) {
     if (it % 15 == 0)
       world.Desk.onDemand(Service, adapter(1), 1, world.Now);
-    world.Desk.onPressed(Service, adapter(1), world.Now);
+    world.Desk.onCongested(Service, adapter(1), world.Now);
     world.rounds(1);
   }
   CHECK(world.copies(adapter(1)) == 1);
@@ -249,18 +249,18 @@
   DeskWorld world(1, 2);
   world.rounds(2);
   for (int it = 1; it <= 2; ++it)
-    world.Desk.onWant(Service, adapter(it), world.Now);
+    world.Desk.onWaiting(Service, adapter(it), world.Now);
   world.rounds(4);
   // Both places are in use, so that nothing can be loaded.
   for (int it = 1; it <= 2; ++it)
     world.Desk.onUse("i-0", adapter(it), 1);
-  world.Desk.onWant(Service, adapter(3), world.Now);
+  world.Desk.onWaiting(Service, adapter(3), world.Now);
   world.rounds(20);
   for (int it = 1; it <= 2; ++it)
     world.Desk.onUse("i-0", adapter(it), -1);
   world.rounds(10);
   CHECK(world.copies(adapter(3)) == 0);
-  world.Desk.onWant(Service, adapter(3), world.Now);
+  world.Desk.onWaiting(Service, adapter(3), world.Now);
   world.rounds(10);
   CHECK(world.copies(adapter(3)) == 1);
 }
@@ -270,7 +270,7 @@
   world.rounds(2);
   world.Desk.setLoadingElsewhere(6);
   for (int n = 0; n < 30; ++n)
-    world.Desk.onWant(Service, adapter(n), world.Now);
+    world.Desk.onWaiting(Service, adapter(n), world.Now);
   world.Now += milliseconds(50);
   world.round();
   std::size_t loads = 0;
@@ -283,7 +283,7 @@
   DeskWorld world(24, 20, 40);
   world.rounds(2);
   for (int n = 0; n < 200; ++n)
-    world.Desk.onWant(Service, adapter(n), world.Now);
+    world.Desk.onWaiting(Service, adapter(n), world.Now);
   world.rounds(4);
   std::size_t loads = 0;
   for (const auto &[id, it] : world.Engines)
@@ -296,11 +296,11 @@
   DeskWorld world(2);
   world.rounds(2);
   std::size_t orders = 0;
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   constexpr int Rounds = 500;
   for (int it = 0; it < Rounds; ++it) {
     world.Now += milliseconds(2);
-    world.Desk.onWant(Service, adapter(1), world.Now);
+    world.Desk.onWaiting(Service, adapter(1), world.Now);
     orders += world.round([] { return 2; });
   }
   // Two engines, a second: rests of 40, 80, 160, 320 and 640 ms.
@@ -317,10 +317,10 @@
   return out;
 }
 
-std::size_t reports(const std::vector<DeskAction> &actions) {
+std::size_t reports(const std::vector<PlacementAction> &actions) {
   return static_cast<std::size_t>(
       std::count_if(actions.begin(), actions.end(), [](const auto &it) {
-        return it.What == DeskAction::Kind::Report;
+        return it.Type == PlacementAction::Kind::Report;
       }));
 }
 
@@ -396,7 +396,7 @@
     constexpr int Adapters = 12;
     for (int it = 0; it < Rounds; ++it) {
       world.Desk.onDemand(Service, adapter(upTo(Adapters)), 1, world.Now);
-      world.Desk.onWant(Service, adapter(upTo(Adapters)), world.Now);
+      world.Desk.onWaiting(Service, adapter(upTo(Adapters)), world.Now);
       world.rounds(1, [&] {
         constexpr int Often = 10;
         auto n = upTo(Often);
@@ -422,11 +422,12 @@
 void restart(DeskWorld &world, const std::string &key, std::uint64_t startMs) {
   auto engine = world.Engines.at(key);
   world.Engines.erase(key);
-  engine.Record.Life = ReplicaLife(engine.Record.Life.id(), startMs);
+  engine.Record.Incarnation =
+      ReplicaIncarnation(engine.Record.Incarnation.id(), startMs);
   engine.Held = {{{Model, {}}, 1}};
   engine.Record.Held = engine.Held;
   engine.Count = 0;
-  world.Engines[engine.Record.Life.text()] = engine;
+  world.Engines[engine.Record.Incarnation.text()] = engine;
 }
 
 } // namespace
@@ -434,14 +435,14 @@
 TEST_CASE("books end with an engine's life", "[desk][life]") {
   DeskWorld world(1);
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(4);
   CHECK(world.Desk.residency("i-0").contains(adapter(1)));
   restart(world, "i-0", 2000);
   world.show();
   CHECK_FALSE(world.Desk.residency("i-0#2000").contains(adapter(1)));
   CHECK(world.Desk.residency("i-0").empty());
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(4);
   CHECK(world.Engines.at("i-0#2000").Held.contains(adapter(1)));
 }
@@ -451,21 +452,21 @@
   restart(world, "i-0", 1000);
   world.show();
   world.rounds(2);
-  world.Desk.onWant(Service, adapter(1), world.Now);
+  world.Desk.onWaiting(Service, adapter(1), world.Now);
   world.rounds(4);
   HoldingsReport other{{{{Model, {}}, 1}}, {}, false, 7, {}, 0};
   SECTION("of an earlier one: a new report is asked for") {
     other.StartedAtMs = 500;
     world.Desk.onReport("i-0#1000", other, world.Now);
     CHECK(world.Desk.residency("i-0#1000").contains(adapter(1)));
-    world.Desk.onWant(Service, adapter(2), world.Now);
+    world.Desk.onWaiting(Service, adapter(2), world.Now);
     world.rounds(12);
     CHECK(world.Engines.at("i-0#1000").Held.contains(adapter(2)));
   }
   SECTION("of a later one: nothing more is ordered until it is registered") {
     other.StartedAtMs = 2000;
     world.Desk.onReport("i-0#1000", other, world.Now);
-    world.Desk.onWant(Service, adapter(2), world.Now);
+    world.Desk.onWaiting(Service, adapter(2), world.Now);
     world.rounds(12);
     CHECK_FALSE(world.Engines.at("i-0#1000").Held.contains(adapter(2)));
     restart(world, "i-0#1000", 2000);
@@ -483,7 +484,7 @@
     auto draw = [](int most) { return *rc::gen::inRange(0, most); };
     std::uint64_t startMs = 1000;
     for (int step = 0; step < 60; ++step) {
-      world.Desk.onWant(Service, adapter(draw(9)), world.Now);
+      world.Desk.onWaiting(Service, adapter(draw(9)), world.Now);
       world.Now += milliseconds(50);
       world.round([&draw] { return draw(4) == 0 ? 2 : 0; });
       if (draw(8) == 0) {
@@ -495,7 +496,7 @@
       for (auto &[key, order] : std::exchange(world.Late, {}))
         for (auto &[now, engine] : world.Engines)
           // The id is all that an engine compares.
-          if (engine.Record.Life.id() == key.substr(0, key.find('#')))
+          if (engine.Record.Incarnation.id() == key.substr(0, key.find('#')))
             engine.obey(order);
     }
     for (const auto &[key, engine] : world.Engines)
--- a/UnitTests/Coordination/Orders/HoldingsLogTest.cpp
+++ b/UnitTests/Coordination/Orders/HoldingsLogTest.cpp
@@ -17,14 +17,14 @@
   void hear(const HoldingsLog &log) {
     for (const auto &it : log.since(Told)) {
       auto &held = Known[it.Replica];
-      if (it.Whole)
+      if (it.Complete)
         held.clear();
       for (const auto &[weights, at] : it.Held)
         held[weights] = at;
       for (const auto &weights : it.Dropped)
         held.erase(weights);
     }
-    Told = log.number();
+    Told = log.revision();
   }
 };
 
@@ -32,37 +32,37 @@
 
 TEST_CASE("a node is told only what has changed", "[holdings]") {
   HoldingsLog log;
-  CHECK(log.note("i-1", {{adapter(1), {1, {}, false}}}));
-  log.close();
+  CHECK(log.update("i-1", {{adapter(1), {1, {}, false}}}));
+  log.commit();
   auto first = log.since(0);
   REQUIRE(first.size() == 1);
-  CHECK(first[0].Whole);
-  CHECK_FALSE(log.note("i-1", {{adapter(1), {1, {}, false}}}));
-  log.close();
+  CHECK(first[0].Complete);
+  CHECK_FALSE(log.update("i-1", {{adapter(1), {1, {}, false}}}));
+  log.commit();
   CHECK(log.since(1).empty());
-  CHECK(log.note("i-1", {{adapter(2), {1, {}, false}}}));
-  log.close();
+  CHECK(log.update("i-1", {{adapter(2), {1, {}, false}}}));
+  log.commit();
   auto next = log.since(1);
   REQUIRE(next.size() == 1);
-  CHECK_FALSE(next[0].Whole);
+  CHECK_FALSE(next[0].Complete);
   CHECK(next[0].Held.size() == 1);
   CHECK(next[0].Held.contains(adapter(2)));
   CHECK(next[0].Dropped == std::vector<WeightsRef>{adapter(1)});
   // Who joins now hears all that is held, and nothing of what was dropped.
   auto all = log.since(0);
-  CHECK(all[0].Whole);
+  CHECK(all[0].Complete);
   CHECK(all[0].Dropped.empty());
 }
 
 TEST_CASE("an entry that a node may have struck out is told again",
           "[holdings]") {
   HoldingsLog log;
-  log.note("i-1", {{adapter(1), {1, {}, false}}});
-  log.close();
-  log.touch("i-1", adapter(1));
-  log.touch("i-1", adapter(2));
-  log.touch("i-2", adapter(1));
-  log.close();
+  log.update("i-1", {{adapter(1), {1, {}, false}}});
+  log.commit();
+  log.markChanged("i-1", adapter(1));
+  log.markChanged("i-1", adapter(2));
+  log.markChanged("i-2", adapter(1));
+  log.commit();
   auto again = log.since(1);
   REQUIRE(again.size() == 1);
   CHECK(again[0].Held.contains(adapter(1)));
@@ -90,8 +90,8 @@
         names.insert(name);
       log.keepOnly(names);
       for (const auto &[name, all] : truth)
-        log.note(name, all);
-      log.close();
+        log.update(name, all);
+      log.commit();
       auto &follower = followers[draw(3)];
       if (draw(15) == 0)
         follower = {};
--- a/UnitTests/Coordination/Orders/LoadPaceTest.cpp
+++ b/UnitTests/Coordination/Orders/LoadConcurrencyTest.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Orders/LoadPace.h"
+#include "Hemlockglade/Coordination/Orders/LoadConcurrency.h"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -12,17 +12,17 @@
 /// Loads wait all the time; they come late while more are on their way than the
 /// store serves at full speed.
 double settled(double atFullSpeed) {
-  LoadPace pace({});
+  LoadConcurrency pace({});
   pace.setRate(5);
   Instant now = std::chrono::seconds(100);
   double sum = 0;
   constexpr int Steps = 600;
   for (int it = 0; it < 2 * Steps; ++it) {
     now += milliseconds(100);
-    pace.onTurnAwaited(now);
-    if (double(pace.most()) > atFullSpeed)
+    pace.onLoadDelayed(now);
+    if (double(pace.limit()) > atFullSpeed)
       pace.onLate(now);
-    sum += it < Steps ? 0 : double(pace.most());
+    sum += it < Steps ? 0 : double(pace.limit());
   }
   return sum / Steps;
 }
@@ -42,15 +42,15 @@
 }
 
 TEST_CASE("nothing is learnt while no load waits", "[load-pace]") {
-  LoadPace pace({});
+  LoadConcurrency pace({});
   pace.setRate(5);
-  CHECK(pace.most() == 12);
-  pace.onTurnAwaited(std::chrono::seconds(10));
+  CHECK(pace.limit() == 12);
+  pace.onLoadDelayed(std::chrono::seconds(10));
   // A pause is no time in which loads waited.
-  pace.onTurnAwaited(std::chrono::seconds(1000));
-  CHECK(pace.most() == 12);
+  pace.onLoadDelayed(std::chrono::seconds(1000));
+  CHECK(pace.limit() == 12);
   pace.setRate(10);
-  CHECK(pace.most() == 24);
+  CHECK(pace.limit() == 24);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Orders/ModelLoadRateTest.cpp
+++ b/UnitTests/Coordination/Orders/ModelLoadRateTest.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Orders/CellDesk.h"
+#include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -32,7 +32,7 @@
 
 /// A cell, its desk and whether the desk's owner may order.
 struct Cell {
-  std::unique_ptr<CellDesk> Desk;
+  std::unique_ptr<CellPlacement> Desk;
   std::map<std::string, Engine> Engines;
   Instant OrdersFrom{};
   int Generation = 0;
@@ -63,19 +63,20 @@
   std::uint64_t upTo(std::uint64_t n) { return Random() % n; }
 
   void newOwner(std::uint32_t cell) {
-    CellDesk::Settings settings;
-    settings.Cells = static_cast<std::uint32_t>(Cells.size());
-    settings.Turn = cell;
-    Cells[cell].Desk = std::make_unique<CellDesk>(settings);
+    CellPlacement::Settings settings;
+    settings.CellCount = static_cast<std::uint32_t>(Cells.size());
+    settings.CellIndex = cell;
+    Cells[cell].Desk = std::make_unique<CellPlacement>(settings);
   }
 
   void addEngine(Cell &cell, bool hasCopy = false) {
     Engine engine;
     engine.HasCopy = hasCopy;
-    engine.Record.Life = ReplicaLife("i-" + std::to_string(NextEngine++));
+    engine.Record.Incarnation =
+        ReplicaIncarnation("i-" + std::to_string(NextEngine++));
     engine.Record.Service = Service;
     engine.Record.Slots = 8;
-    cell.Engines[engine.Record.Life.text()] = engine;
+    cell.Engines[engine.Record.Incarnation.text()] = engine;
   }
 
   std::size_t underWay(const Cell &cell) const {
@@ -132,9 +133,9 @@
       obey(cell, it);
   }
 
-  void obey(Cell &cell, const DeskAction &action) {
+  void obey(Cell &cell, const PlacementAction &action) {
     auto &engine = cell.Engines.at(action.Replica);
-    if (action.What == DeskAction::Kind::Report) {
+    if (action.Type == PlacementAction::Kind::Report) {
       HoldingsReport report;
       if (engine.Holds)
         report.Held[Model] = 1;
--- a/UnitTests/Coordination/Quota/QuotaTest.cpp
+++ b/UnitTests/Coordination/Quota/QuotaTest.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Verdict = QuotaAccount::Verdict;
+using Verdict = QuotaClient::Verdict;
 
 constexpr double UsualTokens = 1640;
 
@@ -129,7 +129,7 @@
   std::pair<double, double> big{};
   std::pair<double, double> all{};
   for (const auto &request : it.requests()) {
-    bool passed = request.What == Verdict::Go;
+    bool passed = request.What == Verdict::Allowed;
     all.first += passed ? 1 : 0;
     ++all.second;
     if (request.Units < 1.4 * UsualTokens)
@@ -195,7 +195,7 @@
   for (int round = 0; round < 200; ++round) {
     it.ask(0, UsualTokens);
     it.advance(milliseconds(20));
-    if (it.requests().back().What == Verdict::Go)
+    if (it.requests().back().What == Verdict::Allowed)
       it.giveBack(0, UsualTokens);
     it.advance(milliseconds(80));
   }
@@ -204,22 +204,22 @@
 
 TEST_CASE("a further grant gives what is left of the one before no new time",
           "[quota]") {
-  QuotaAccount it(QuotaAccount::Settings{}, bounds());
+  QuotaClient it(QuotaClient::Settings{}, bounds());
   it.setCells({"a"}, "a");
   Workspace space{"w", std::nullopt, large()};
   Instant now = seconds(10);
-  QuotaAccount::Ticket ticket = 0;
+  QuotaClient::Ticket ticket = 0;
   auto ask = [&](double units) {
-    auto decision = it.book(++ticket, space, units, now);
-    return decision && decision->What == Verdict::Go;
+    auto decision = it.reserve(++ticket, space, units, now);
+    return decision && decision->Result == Verdict::Allowed;
   };
   /// Answers what was asked for, in full; gives the units granted ahead.
   auto grant = [&] {
     double ahead = 0;
-    for (const auto &message : it.takeAsks(now))
-      for (const auto &asked : message.Asks) {
+    for (const auto &message : it.takeRequests(now))
+      for (const auto &asked : message.Requests) {
         QuotaGrant grant{asked.Workspace, true,
-                         static_cast<std::uint32_t>(asked.Needs.size()),
+                         static_cast<std::uint32_t>(asked.Requested.size()),
                          asked.Ahead, Span(0)};
         ahead += asked.Ahead;
         it.onGrants(message.Cell, message.Number, std::span(&grant, 1), now);
@@ -275,14 +275,14 @@
 }
 
 TEST_CASE("a deployment without cells keeps no limit", "[quota]") {
-  QuotaAccount it(QuotaAccount::Settings{}, bounds());
+  QuotaClient it(QuotaClient::Settings{}, bounds());
   Workspace space{"w", std::nullopt, large()};
-  auto decision = it.book(1, space, 1, seconds(1));
+  auto decision = it.reserve(1, space, 1, seconds(1));
   REQUIRE(decision);
-  CHECK(decision->What == Verdict::NoKeeper);
+  CHECK(decision->Result == Verdict::NoServer);
   it.charge(space, 1, seconds(1));
-  it.giveBack(space, 1, seconds(1));
-  CHECK(it.takeAsks(seconds(1)).empty());
+  it.release(space, 1, seconds(1));
+  CHECK(it.takeRequests(seconds(1)).empty());
 }
 
 TEST_CASE("figures of the ways to share a limit", "[.figures]") {
--- a/UnitTests/Coordination/Quota/QuotaWorld.h
+++ b/UnitTests/Coordination/Quota/QuotaWorld.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Hemlockglade/Coordination/Quota/QuotaAccount.h"
+#include "Hemlockglade/Coordination/Quota/QuotaClient.h"
 
 #include "UnitTests/Coordination/VirtualTime.h"
 
@@ -41,7 +41,7 @@
     Instant SentAt{};
     Instant DecidedAt{};
     double Units = 0;
-    QuotaAccount::Verdict What = QuotaAccount::Verdict::Go;
+    QuotaClient::Verdict What = QuotaClient::Verdict::Allowed;
     Span RetryAfter{0};
   };
 
@@ -82,11 +82,11 @@
     auto number = Requests.size();
     Requests.push_back({Time.now(), {}, units});
     if (Setup.Way == QuotaWay::EvenSplit) {
-      bool passes = at.Own.take(units, Time.now());
-      return decide({number, passes ? QuotaAccount::Verdict::Go
-                                    : QuotaAccount::Verdict::Limited});
+      bool passes = at.Own.tryTake(units, Time.now());
+      return decide({number, passes ? QuotaClient::Verdict::Allowed
+                                    : QuotaClient::Verdict::Limited});
     }
-    if (auto decision = at.Account->book(number, Space, units, Time.now()))
+    if (auto decision = at.Account->reserve(number, Space, units, Time.now()))
       decide(*decision);
     pumpSoon(entry);
   }
@@ -123,7 +123,7 @@
         it.Keeper->setLimits(directory(), CellNames, Time.now());
   }
   void giveBack(std::size_t entry, double units) {
-    Entries[entry]->Account->giveBack(Space, units, Time.now());
+    Entries[entry]->Account->release(Space, units, Time.now());
   }
 
   const std::vector<Request> &requests() const { return Requests; }
@@ -134,7 +134,7 @@
   double mostWithin(Span window) const {
     std::vector<std::pair<Instant, double>> passed;
     for (const auto &it : Requests)
-      if (it.What == QuotaAccount::Verdict::Go && it.DecidedAt > Instant{})
+      if (it.What == QuotaClient::Verdict::Allowed && it.DecidedAt > Instant{})
         passed.emplace_back(it.DecidedAt, it.Units);
     std::sort(passed.begin(), passed.end());
     double most = 0;
@@ -159,7 +159,7 @@
       if (it.SentAt < from)
         continue;
       ++all;
-      if (it.What == QuotaAccount::Verdict::Go)
+      if (it.What == QuotaClient::Verdict::Allowed)
         passed += it.Units;
       else
         ++refused;
@@ -179,7 +179,7 @@
 
 private:
   struct Entry {
-    std::unique_ptr<QuotaAccount> Account;
+    std::unique_ptr<QuotaClient> Account;
     TokenBucket Own{TokenBucket::Settings{}, Instant{}};
     std::string Cell;
     Instant FrozenUntil{};
@@ -187,7 +187,7 @@
     bool PumpDue = false;
   };
   struct Owner {
-    std::unique_ptr<QuotaKeeper> Keeper;
+    std::unique_ptr<QuotaServer> Keeper;
   };
 
   WorkspaceDirectory directory() const {
@@ -195,7 +195,7 @@
   }
 
   void beginKeeper(Owner &owner, const std::string &cell) {
-    owner.Keeper = std::make_unique<QuotaKeeper>(cell, Setup.Quota);
+    owner.Keeper = std::make_unique<QuotaServer>(cell, Setup.Quota);
     owner.Keeper->setLimits(directory(), CellNames, Time.now());
   }
 
@@ -210,21 +210,21 @@
   }
 
   void newAccount(Entry &it) {
-    QuotaAccount::Settings settings;
+    QuotaClient::Settings settings;
     if (Setup.Way == QuotaWay::AskEach)
       settings.AheadFor = Span(0);
-    it.Account = std::make_unique<QuotaAccount>(settings, Setup.Quota);
+    it.Account = std::make_unique<QuotaClient>(settings, Setup.Quota);
     it.Account->setCells(CellNames, it.Cell);
     it.Account->setEntries(Setup.Entries);
   }
 
-  void decide(const QuotaAccount::Decision &it) {
+  void decide(const QuotaClient::Decision &it) {
     auto &request = Requests[it.Number];
-    request.What = it.What;
+    request.What = it.Result;
     request.RetryAfter = it.RetryAfter;
     request.DecidedAt = Time.now();
   }
-  void decide(const std::vector<QuotaAccount::Decision> &all) {
+  void decide(const std::vector<QuotaClient::Decision> &all) {
     for (const auto &it : all)
       decide(it);
   }
@@ -253,20 +253,20 @@
   }
 
   void pump(std::size_t entry) {
-    for (const auto &it : Entries[entry]->Account->takeAsks(Time.now())) {
+    for (const auto &it : Entries[entry]->Account->takeRequests(Time.now())) {
       ++Messages;
       Time.after(delay(), [this, entry, it] { onAsk(entry, it); });
     }
   }
 
-  void onAsk(std::size_t entry, const QuotaAccount::Message &message) {
+  void onAsk(std::size_t entry, const QuotaClient::Message &message) {
     auto &owner = Keepers[message.Cell];
     if (!owner.Keeper)
       return;
     ++Messages;
     std::vector<QuotaGrant> grants;
-    for (const auto &it : message.Asks)
-      grants.push_back(owner.Keeper->onAsk(it, Time.now()));
+    for (const auto &it : message.Requests)
+      grants.push_back(owner.Keeper->onRequest(it, Time.now()));
     atEntry(entry, delay(), [this, entry, message, grants] {
       decide(Entries[entry]->Account->onGrants(message.Cell, message.Number,
                                                grants, Time.now()));
--- a/UnitTests/Coordination/Recovery/RecoveryTest.cpp
+++ b/UnitTests/Coordination/Recovery/RecoveryTest.cpp
@@ -97,7 +97,7 @@
 
 private:
   struct Owner {
-    std::unique_ptr<RecoveryKeeper> Keeper;
+    std::unique_ptr<RecoveryCoordinator> Keeper;
     std::set<std::string> Known;
     bool Recovered = false;
   };
@@ -125,7 +125,8 @@
     hooks.OnRecovered = [owner](const std::string &, Epoch) {
       owner->Recovered = true;
     };
-    out->Keeper = std::make_unique<RecoveryKeeper>(RecoverySettings{}, hooks);
+    out->Keeper =
+        std::make_unique<RecoveryCoordinator>(RecoverySettings{}, hooks);
     return out;
   }
 
@@ -197,7 +198,7 @@
 /// A keeper that notes its calls.
 struct Noted {
   std::vector<std::string> Calls;
-  RecoveryKeeper Keeper;
+  RecoveryCoordinator Keeper;
 
   explicit Noted(const RecoverySettings &settings = {})
       : Keeper(settings, hooks()) {}
--- a/UnitTests/Coordination/Retry/PendingAsksTest.cpp
+++ b/UnitTests/Coordination/Retry/PendingAdmissionsTest.cpp
@@ -13,17 +13,17 @@
 struct AskBench {
   AskBench() {
     Ticket = Asks.add(Cell, "owner:1", Instant(20s),
-                      [this](AskFailure it) { Failures.push_back(it); });
+                      [this](AdmissionFailure it) { Failures.push_back(it); });
   }
 
   void tick(Instant now) {
     Asks.tick(now, [this](const std::string &) { return Owner; });
   }
 
-  PendingAsks Asks;
-  PendingAsks::Ticket Ticket = 0;
+  PendingAdmissions Asks;
+  PendingAdmissions::Ticket Ticket = 0;
   std::string Owner = "owner:1";
-  std::vector<AskFailure> Failures;
+  std::vector<AdmissionFailure> Failures;
 };
 
 } // namespace
@@ -37,7 +37,7 @@
   bench.Owner = GENERATE("", "heir:1");
   bench.tick(Instant(11s));
   bench.tick(Instant(30s));
-  REQUIRE(bench.Failures == std::vector{AskFailure::OwnerChanged});
+  REQUIRE(bench.Failures == std::vector{AdmissionFailure::OwnerChanged});
 }
 
 TEST_CASE("no owner is waited for past the deadline", "[asks]") {
@@ -46,7 +46,7 @@
   REQUIRE(bench.Failures.empty());
   bench.tick(Instant(20s));
   bench.tick(Instant(21s));
-  REQUIRE(bench.Failures == std::vector{AskFailure::DeadlinePassed});
+  REQUIRE(bench.Failures == std::vector{AdmissionFailure::DeadlinePassed});
 }
 
 TEST_CASE("an answered asking does not fail, one made meanwhile may",
@@ -54,9 +54,9 @@
   AskBench bench;
   bench.Asks.remove(bench.Ticket);
   bool again = false;
-  bench.Asks.add(Cell, "owner:1", Instant(5s), [&](AskFailure) {
+  bench.Asks.add(Cell, "owner:1", Instant(5s), [&](AdmissionFailure) {
     bench.Asks.add(Cell, "heir:1", Instant(20s),
-                   [&](AskFailure) { again = true; });
+                   [&](AdmissionFailure) { again = true; });
   });
   bench.Owner = "heir:1";
   bench.tick(Instant(1s));
--- a/UnitTests/Coordination/Retry/RetryTest.cpp
+++ b/UnitTests/Coordination/Retry/RetryTest.cpp
@@ -7,8 +7,8 @@
 
 TEST_CASE("the outcome says not-run only if nothing can have run", "[retry]") {
   for (int it = 0; it < 16; ++it) {
-    AttemptSeen seen{(it & 1) != 0, (it & 2) != 0, (it & 4) != 0,
-                     (it & 8) != 0};
+    AttemptObservation seen{(it & 1) != 0, (it & 2) != 0, (it & 4) != 0,
+                            (it & 8) != 0};
     auto outcome = outcomeOf(seen);
     bool refused = seen.RefusedBeforeRunning && seen.AnswerWhole;
     REQUIRE((outcome == Outcome::NotRun) == (!seen.MayHaveSent || refused));
--- a/UnitTests/Coordination/Route/PlainServiceTest.cpp
+++ b/UnitTests/Coordination/Route/PlainServiceTest.cpp
@@ -67,8 +67,8 @@
 }
 
 TEST_CASE("few requests of a workspace wait behind few of another", "[plain]") {
-  TurnQueue it;
-  std::vector<TurnQueue::Ticket> many;
+  FairQueue it;
+  std::vector<FairQueue::Ticket> many;
   many.reserve(10);
   for (int n = 0; n < 10; ++n)
     many.push_back(it.join("s", {"many", 0, seconds(20), {}}));
@@ -80,11 +80,11 @@
   CHECK(it.isNext("s", many[1], seconds(1)));
   for (auto ticket : many)
     it.leave("s", ticket);
-  CHECK_FALSE(it.anyWaits("s"));
+  CHECK_FALSE(it.hasWaiting("s"));
 }
 
 TEST_CASE("what can be in time goes first, then the more urgent", "[plain]") {
-  TurnQueue it;
+  FairQueue it;
   auto late = it.join("s", {"a", 0, seconds(1), {}});
   auto other = it.join("s", {"b", 2, seconds(9), {}});
   auto urgent = it.join("s", {"c", 1, seconds(9), {}});
@@ -92,7 +92,7 @@
   it.onServed("s", urgent);
   CHECK(it.isNext("s", other, seconds(2)));
   // One that found no room is passed over for a moment.
-  it.passOver("s", other, seconds(3));
+  it.deferUntil("s", other, seconds(3));
   CHECK(it.isNext("s", late, seconds(2)));
   CHECK(it.isNext("s", other, seconds(3)));
 }
--- a/UnitTests/Coordination/Route/PlainWorld.h
+++ b/UnitTests/Coordination/Route/PlainWorld.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "Hemlockglade/Coordination/Route/FairQueue.h"
 #include "Hemlockglade/Coordination/Route/ReplicaView.h"
-#include "Hemlockglade/Coordination/Route/TurnQueue.h"
 
 #include "UnitTests/Coordination/VirtualTime.h"
 
@@ -36,17 +36,17 @@
     std::optional<Span> Took;
     std::size_t Entry = 0;
     RouteQuery Query;
-    TurnQueue::Ticket Turn = 0;
+    FairQueue::Ticket Turn = 0;
     bool Refused = false;
   };
 
   explicit PlainWorld(Settings settings)
       : Setup(settings), Random(settings.Seed) {
     ReplicaChanges all;
-    all.Whole = true;
+    all.Complete = true;
     for (std::size_t it = 0; it < Setup.Replicas; ++it) {
       ReplicaRecord record;
-      record.Life = ReplicaLife("i-" + std::to_string(it));
+      record.Incarnation = ReplicaIncarnation("i-" + std::to_string(it));
       record.Service = "s";
       record.Slots = Setup.Slots;
       record.FailureDomain = "a";
@@ -57,12 +57,12 @@
     for (std::size_t it = 0; it < Setup.Entries; ++it) {
       ReplicaView::Settings view;
       view.FailureDomain = "a";
-      view.Windows = Setup.Windows;
+      view.UseWindows = Setup.Windows;
       Views.push_back(std::make_unique<ReplicaView>(view));
       Views.back()->setPlan(Plan);
-      Views.back()->setPart(1.0 / static_cast<double>(Setup.Entries));
+      Views.back()->setTrafficShare(1.0 / static_cast<double>(Setup.Entries));
       Views.back()->onRegistry(all, false, Time.now());
-      Lines.push_back(std::make_unique<TurnQueue>());
+      Lines.push_back(std::make_unique<FairQueue>());
     }
   }
 
@@ -107,14 +107,14 @@
     it->At = Time.now();
     it->Entry = Random() % Setup.Entries;
     it->Query.Service = "s";
-    it->Query.Target = Setup.Target;
+    it->Query.TargetLatency = Setup.Target;
     Requests.push_back(it);
     look(it);
   }
 
   bool goesLater(const std::shared_ptr<Request> &it) {
     auto &line = *Lines[it->Entry];
-    if (!Setup.Turns || !line.anyWaits("s"))
+    if (!Setup.Turns || !line.hasWaiting("s"))
       return false;
     join(it);
     return !line.isNext("s", it->Turn, Time.now());
@@ -123,8 +123,8 @@
   void join(const std::shared_ptr<Request> &it) {
     if (it->Turn || !Setup.Turns)
       return;
-    auto timelyUntil = Views[it->Entry]->timelyUntil(it->Query, it->At);
-    TurnQueue::Request request{it->Workspace, 0, timelyUntil, [this, it] {
+    auto timelyUntil = Views[it->Entry]->onTimeUntil(it->Query, it->At);
+    FairQueue::Request request{it->Workspace, 0, timelyUntil, [this, it] {
                                  Time.after(Span(0), [this, it] {
                                    if (it->Turn)
                                      look(it);
@@ -147,13 +147,13 @@
       return;
     auto now = Time.now();
     auto choice = Views[it->Entry]->choose(it->Query, now);
-    if (choice.What == RouteChoice::Kind::Send && !goesLater(it))
+    if (choice.Result == RouteChoice::Kind::Send && !goesLater(it))
       return send(it, choice);
     if (now - it->At >= Setup.Hold)
       return refuse(it);
     join(it);
-    if (Setup.Turns && !it->Query.Resting.empty())
-      Lines[it->Entry]->passOver("s", it->Turn, now + Step / 2);
+    if (Setup.Turns && !it->Query.BackoffUntil.empty())
+      Lines[it->Entry]->deferUntil("s", it->Turn, now + Step / 2);
     Time.after(Step, [this, it, turn = it->Turn] {
       if (it->Turn == turn)
         look(it);
@@ -168,7 +168,7 @@
   void send(const std::shared_ptr<Request> &it, const RouteChoice &choice) {
     leave(it);
     auto now = Time.now();
-    auto id = choice.Replica->Life.text();
+    auto id = choice.Replica->Incarnation.text();
     auto at = static_cast<std::size_t>(std::stoul(id.substr(2)));
     it->Query.SentAt = now;
     auto attempt = Views[it->Entry]->onSent(id, it->Query, now);
@@ -180,7 +180,7 @@
     }
     ++Shed;
     end(it, at, attempt, AttemptVerdict::Shed);
-    it->Query.Resting[id] = now + std::chrono::milliseconds(50);
+    it->Query.BackoffUntil[id] = now + std::chrono::milliseconds(50);
     if (now - it->At >= Setup.Hold)
       return refuse(it);
     look(it);
@@ -203,7 +203,7 @@
       it->Took = Time.now() - it->At;
       Views[it->Entry]->onAnswered("i-" + std::to_string(at), attempt,
                                    Time.now());
-      end(it, at, attempt, AttemptVerdict::Good);
+      end(it, at, attempt, AttemptVerdict::Success);
       if (Waiting[at].empty())
         return;
       auto [next, number] = Waiting[at].front();
@@ -218,7 +218,7 @@
       1, std::vector<Route>{},
       std::vector{ServiceSpec{"s", "/", 10, std::nullopt}}, CallerLimits{});
   std::vector<std::unique_ptr<ReplicaView>> Views;
-  std::vector<std::unique_ptr<TurnQueue>> Lines;
+  std::vector<std::unique_ptr<FairQueue>> Lines;
   std::vector<std::shared_ptr<Request>> Requests;
   std::vector<std::uint32_t> Running;
   std::vector<std::vector<std::pair<std::shared_ptr<Request>, std::uint64_t>>>
--- a/UnitTests/Coordination/Route/RegistryLogTest.cpp
+++ b/UnitTests/Coordination/Route/RegistryChangeLogTest.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Registry/RegistryLog.h"
+#include "Hemlockglade/Coordination/Registry/RegistryChangeLog.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,7 +8,7 @@
 
 ReplicaRecord replica(const std::string &incarnation, bool draining = false) {
   ReplicaRecord out;
-  out.Life = ReplicaLife(incarnation);
+  out.Incarnation = ReplicaIncarnation(incarnation);
   out.Service = "s";
   out.Draining = draining;
   return out;
@@ -22,7 +22,7 @@
 } // namespace
 
 TEST_CASE("changes are told in order from where a node stands", "[registry]") {
-  RegistryLog log({});
+  RegistryChangeLog log({});
   log.onReplicas({true, {replica("i-1")}, {}, 10});
   CHECK(log.onReplicas(seen(12, {replica("i-2")})));
   CHECK(log.onReplicas(seen(15, {}, {"i-2"})));
@@ -30,9 +30,9 @@
   auto all = log.replicas().since(10);
   REQUIRE(all);
   REQUIRE(all->size() == 3);
-  CHECK((*all)[0].Present[0].Life.text() == "i-2");
+  CHECK((*all)[0].Present[0].Incarnation.text() == "i-2");
   CHECK((*all)[1].Removed[0] == "i-2");
-  CHECK((*all)[2].Present[0].Life.text() == "i-2");
+  CHECK((*all)[2].Present[0].Incarnation.text() == "i-2");
   CHECK(log.replicas().since(15)->size() == 1);
   CHECK(log.replicas().since(16)->empty());
   CHECK(log.replicas().position() == 16);
@@ -40,7 +40,7 @@
 
 TEST_CASE("a node that stands before what is kept is told nothing",
           "[registry]") {
-  RegistryLog log({2});
+  RegistryChangeLog log({2});
   CHECK_FALSE(log.replicas().since(0));
   log.onReplicas({true, {}, {}, 10});
   CHECK_FALSE(log.replicas().since(9));
@@ -53,7 +53,7 @@
 }
 
 TEST_CASE("heartbeats that change nothing are not told", "[registry]") {
-  RegistryLog log({});
+  RegistryChangeLog log({});
   log.onReplicas({true, {replica("i-1")}, {}, 10});
   CHECK_FALSE(log.onReplicas(seen(11, {replica("i-1")})));
   CHECK(log.replicas().since(10)->empty());
@@ -64,7 +64,7 @@
 
 TEST_CASE("what operators declare is told, looks without news are not",
           "[registry]") {
-  RegistryLog log({});
+  RegistryChangeLog log({});
   CHECK_FALSE(log.onOperator({nullptr, {}, 5}));
   CHECK_FALSE(log.onOperator({nullptr, {}, 7}));
   CHECK(log.onOperator({nullptr, {{{"m", "a"}, 3}}, 8}));
@@ -77,7 +77,7 @@
 
 TEST_CASE("what a briefing told alone is not passed over in news",
           "[registry]") {
-  RegistryLog log({});
+  RegistryChangeLog log({});
   log.onOperator({nullptr, {}, 5});
   log.restartOperators(9);
   CHECK_FALSE(log.operators().since(5));
@@ -85,12 +85,12 @@
 }
 
 TEST_CASE("a start under the same id is told", "[registry-log][life]") {
-  RegistryLog log({});
+  RegistryChangeLog log({});
   auto first = replica("i-1");
-  first.Life = ReplicaLife("i-1", 1000);
+  first.Incarnation = ReplicaIncarnation("i-1", 1000);
   log.onReplicas({true, {first}, {}, 1});
   CHECK_FALSE(log.onReplicas({false, {first}, {}, 2}));
-  first.Life = ReplicaLife("i-1", 2000);
+  first.Incarnation = ReplicaIncarnation("i-1", 2000);
   CHECK(log.onReplicas({false, {first}, {}, 3}));
 }
 
--- a/UnitTests/Coordination/Route/LookPaceTest.cpp
+++ b/UnitTests/Coordination/Route/RegistryPollSettingsTest.cpp
@@ -1,4 +1,4 @@
-#include "Hemlockglade/Coordination/Registry/LookPace.h"
+#include "Hemlockglade/Coordination/Registry/RegistryPollSettings.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,23 +15,24 @@
   auto drain =
       GENERATE(milliseconds(100), milliseconds(2000), milliseconds(9000));
   INFO("bounds " << plan.count() << " and " << drain.count() << " ms");
-  auto it = LookPace::within(plan, drain);
+  auto it = RegistryPollSettings::forBounds(plan, drain);
   auto shorter = std::min<Span>(plan, drain);
-  CHECK(it.OperatorWait + it.Patience <= plan * 17 / 20);
-  CHECK(it.ReplicaPeriod + it.Patience <= drain * 17 / 20);
-  CHECK(it.Patience + it.LongestPause <= shorter * 3 / 4);
-  CHECK(it.Pause <= it.LongestPause);
-  CHECK(it.OperatorWait > Span(0));
+  CHECK(it.MaxOperatorWait + it.AnswerTimeout <= plan * 17 / 20);
+  CHECK(it.ReplicaPeriod + it.AnswerTimeout <= drain * 17 / 20);
+  CHECK(it.AnswerTimeout + it.MaxRetryPause <= shorter * 3 / 4);
+  CHECK(it.RetryPause <= it.MaxRetryPause);
+  CHECK(it.MaxOperatorWait > Span(0));
 }
 
 TEST_CASE("the usual bounds give the pace that is the default", "[registry]") {
-  auto it = LookPace::within(milliseconds(2000), milliseconds(2000));
-  LookPace usual;
-  CHECK(it.OperatorWait == usual.OperatorWait);
+  auto it =
+      RegistryPollSettings::forBounds(milliseconds(2000), milliseconds(2000));
+  RegistryPollSettings usual;
+  CHECK(it.MaxOperatorWait == usual.MaxOperatorWait);
   CHECK(it.ReplicaPeriod == usual.ReplicaPeriod);
-  CHECK(it.Patience == usual.Patience);
-  CHECK(it.Pause == usual.Pause);
-  CHECK(it.LongestPause == usual.LongestPause);
+  CHECK(it.AnswerTimeout == usual.AnswerTimeout);
+  CHECK(it.RetryPause == usual.RetryPause);
+  CHECK(it.MaxRetryPause == usual.MaxRetryPause);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Node/ExchangeRig.h
+++ b/UnitTests/Node/ExchangeRig.h
@@ -35,7 +35,7 @@
   Epoch Promised = 0;
   std::set<std::string> Register;
   std::vector<std::function<void()>> Timers;
-  std::vector<ClaimBook::OnAnswer> Claims;
+  std::vector<ClaimStore::OnAnswer> Claims;
   std::optional<ClaimAnswer> ClaimGiven;
   std::vector<Outcome> Recorded;
   std::vector<Finish> Ends;
@@ -112,7 +112,7 @@
     Hooks->Unregister = [this](const RegisteredRequest &request) {
       Register.erase(request.Id);
     };
-    Hooks->Claim = [this](const ExchangeRequest &, ClaimBook::OnAnswer done) {
+    Hooks->Claim = [this](const ExchangeRequest &, ClaimStore::OnAnswer done) {
       if (ClaimGiven)
         return done(*ClaimGiven);
       Claims.push_back(std::move(done));
--- a/UnitTests/Node/ExchangeTest.cpp
+++ b/UnitTests/Node/ExchangeTest.cpp
@@ -277,15 +277,15 @@
     std::size_t runs = 0;
     std::vector<int> statuses;
     std::vector<std::unique_ptr<ExchangeRig>> rigs;
-    std::vector<std::shared_ptr<ClaimBook>> books;
+    std::vector<std::shared_ptr<ClaimStore>> books;
     for (int it = 0; it < 2; ++it) {
-      books.push_back(std::make_shared<ClaimBook>(
+      books.push_back(std::make_shared<ClaimStore>(
           ClaimSettings{}, "node-" + std::to_string(it), table.hooks(), hooks));
       auto &rig = *rigs.emplace_back(std::make_unique<ExchangeRig>());
       rig.Request.IdempotencyKey = "k";
       rig.Request.Id = "r" + std::to_string(it);
       rig.Hooks->Claim = [book = books.back()](const ExchangeRequest &request,
-                                               ClaimBook::OnAnswer done) {
+                                               ClaimStore::OnAnswer done) {
         book->claim({"s", request.IdempotencyKey, request.Body, request.Id},
                     std::move(done));
       };
--- a/UnitTests/Node/Gateway/CallerAccessTest.cpp
+++ b/UnitTests/Node/Gateway/CallerAccessTest.cpp
@@ -12,7 +12,7 @@
 
 WorkspaceDirectory redWith(std::vector<std::string> keys) {
   WorkspaceDeclaration red;
-  red.Of.Name = "red";
+  red.Declared.Name = "red";
   red.Keys = std::move(keys);
   return WorkspaceDirectory({red});
 }
@@ -188,8 +188,8 @@
 TEST_CASE("a limit holds at the node that keeps it", "[gateway][access]") {
   AccessFixture it;
   WorkspaceDeclaration red;
-  red.Of.Name = "red";
-  red.Of.Limit = WorkspaceLimit{LimitUnit::Requests, 2, 3, 0};
+  red.Declared.Name = "red";
+  red.Declared.Limit = WorkspaceLimit{LimitUnit::Requests, 2, 3, 0};
   red.Keys = {"sekret-1"};
   it.Platform.Workspaces = WorkspaceDirectory({red});
   it.Platform.declare(2, "/x/");
--- a/UnitTests/Node/Gateway/CellMemberTest.cpp
+++ b/UnitTests/Node/Gateway/CellMemberTest.cpp
@@ -22,9 +22,9 @@
   }
   /// Names the nodes in service; says nothing of them if there are none.
   void tell(std::vector<EntryNotice> entries) const {
-    OwnerBeat beat;
-    beat.RostersChanged = !entries.empty();
-    beat.Rosters = {{"hall-a", std::move(entries)}};
+    OwnerHeartbeat beat;
+    beat.EntriesChanged = !entries.empty();
+    beat.Entries = {{"hall-a", std::move(entries)}};
     Stream->send(pack(beat));
   }
 
@@ -33,21 +33,23 @@
 };
 
 /// Sets the hooks that most tests have no use for.
-void quiet(CellMember::Hooks &hooks, CrashLink &crashes) {
+void quiet(CellMember::Hooks &hooks, CrashCoordinator &crashes) {
   hooks.Crashes = &crashes;
   hooks.OnChanged = [] {};
   hooks.Plan = [] { return nullptr; };
   hooks.After = [](Span, const std::function<void()> &) {};
   hooks.Load = [] { return EntryLoad{}; };
   hooks.Follows = [] { return true; };
-  hooks.Knows = [] { return RegistryPositions{}; };
-  hooks.NewsSince = [](const RegistryPositions &) { return RegistryNews{}; };
-  hooks.OnNews = [](const RegistryNews &, Instant) {};
+  hooks.KnownPositions = [] { return RegistryPositions{}; };
+  hooks.UpdateSince = [](const RegistryPositions &) {
+    return RegistryUpdate{};
+  };
+  hooks.OnUpdate = [](const RegistryUpdate &, Instant) {};
   hooks.Leases = [] {
     return std::vector<std::pair<std::string, std::string>>{};
   };
   hooks.OnLease = [](const std::string &, const std::string &) {};
-  hooks.OnRosters = [] {};
+  hooks.OnServingEntries = [] {};
 }
 
 struct FollowerFixture : Loopback {
@@ -72,7 +74,7 @@
       return MemberNotice{"n", "p", "", "hall-a", true, 1, 1000, Awake};
     };
     quiet(hooks, Crashes);
-    hooks.OnNews = [this](const RegistryNews &, Instant sentAfter) {
+    hooks.OnUpdate = [this](const RegistryUpdate &, Instant sentAfter) {
       SentAfter = sentAfter;
     };
     Member = std::make_unique<CellMember>(settings, std::move(hooks), View, Net,
@@ -86,7 +88,7 @@
   }
 
   std::size_t entries() const {
-    const auto *told = Member->rosters();
+    const auto *told = Member->servingEntries();
     return told && !told->empty() ? told->front().Entries.size() : 0;
   }
 
@@ -96,9 +98,9 @@
   CellLeaseRow Row;
   bool Awake = true;
   EventLog Log;
-  CrashLink Crashes{{[](const auto &, auto) {}, [](Span, auto) {}, [] {},
-                     [](const auto &) {}},
-                    Log};
+  CrashCoordinator Crashes{{[](const auto &, auto) {}, [](Span, auto) {}, [] {},
+                            [](const auto &) {}},
+                           Log};
   ReplicaView View;
   PeerTraffic Traffic;
   PeerNet Net;
@@ -121,9 +123,9 @@
   first.Stream->close();
   it.follow(second, 2);
   second.tell({});
-  REQUIRE(it.until([&] { return it.Member->fresh(); }));
+  REQUIRE(it.until([&] { return it.Member->isUpToDate(); }));
   it.settle();
-  CHECK(it.Member->rosters() == nullptr);
+  CHECK(it.Member->servingEntries() == nullptr);
   second.tell({{"n", ""}});
   REQUIRE(it.until([&] { return it.entries() == 1; }));
 }
@@ -136,7 +138,7 @@
   auto now = TimerService::now();
   auto answers = GENERATE(as<Span>{}, Span(0), -std::chrono::seconds(2),
                           std::chrono::hours(1));
-  OwnerBeat beat;
+  OwnerHeartbeat beat;
   beat.AnswersUs = answers == Span(0) ? 0 : (now + answers).count();
   owner.Stream->send(pack(beat));
   REQUIRE(it.until([&] { return it.SentAfter.has_value(); }));
@@ -159,7 +161,7 @@
   first.Stream->close();
   it.Row.Released = true;
   it.Row.Fence = 2;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   CHECK(it.entries() == 0);
 }
 
@@ -180,8 +182,8 @@
     settings.Lease.Incarnation = "p";
     settings.Lease.Address = "10.0.0.1:7";
     settings.NearerReady = std::chrono::milliseconds(100);
-    settings.BeatEvery = std::chrono::milliseconds(30);
-    settings.RosterSettles = Settles;
+    settings.HeartbeatInterval = std::chrono::milliseconds(30);
+    settings.EntrySelectionDelay = Settles;
     CellMember::Hooks hooks;
     hooks.Table.Get = [this](const std::string &key, auto done) {
       asio::post(Context, [this, key, done] {
@@ -234,12 +236,12 @@
   /// Another node follows; what it hears is kept.
   std::shared_ptr<PeerStream> follow(const MemberNotice &self,
                                      double requestsPerSecond = 0) {
-    NodeBeat beat;
+    NodeHeartbeat beat;
     beat.Self = self;
     beat.RequestsPerSecond = requestsPerSecond;
     PeerHooks hooks;
     hooks.OnMessage = [this, name = self.Node](std::string_view message) {
-      if (auto told = unpack<OwnerBeat>(message))
+      if (auto told = unpack<OwnerHeartbeat>(message))
         Heard[name].push_back(*told);
     };
     return OtherNet.open(address(Net.port()),
@@ -248,7 +250,7 @@
   }
 
   std::size_t entries() const {
-    const auto *told = Member->rosters();
+    const auto *told = Member->servingEntries();
     return told && !told->empty() ? told->front().Entries.size() : 0;
   }
 
@@ -265,15 +267,15 @@
   std::uint64_t Version = 0;
   std::optional<CellLeaseRow> Row;
   EventLog Log;
-  CrashLink Crashes{{[](const auto &, auto) {}, [](Span, auto) {}, [] {},
-                     [](const auto &) {}},
-                    Log};
+  CrashCoordinator Crashes{{[](const auto &, auto) {}, [](Span, auto) {}, [] {},
+                            [](const auto &) {}},
+                           Log};
   ReplicaView View;
   PeerTraffic Traffic;
   std::unique_ptr<CellMember> Member;
   PeerNet Net;
   PeerNet OtherNet;
-  std::map<std::string, std::vector<OwnerBeat>> Heard;
+  std::map<std::string, std::vector<OwnerHeartbeat>> Heard;
   TimerService Timers{Context};
   TimerService::Subscription Ticking = Timers.every(
       std::chrono::milliseconds(10), [this](Instant) { Member->tick(); });
@@ -283,7 +285,7 @@
 
 TEST_CASE("a weak host hands its cell over to a strong one", "[gateway]") {
   OwnerFixture it;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto strong = it.follow(OwnerFixture::node("m", true));
   REQUIRE(it.until([&] { return it.Row && it.Row->Released; }));
 }
@@ -292,7 +294,7 @@
           "[gateway]") {
   OwnerFixture it;
   it.OwnerStrong = true;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto node = it.follow(OwnerFixture::node("m", false));
   auto answered = [&](std::int64_t sentAt) {
     auto &heard = it.Heard["m"];
@@ -300,13 +302,13 @@
       return beat.AnswersUs == sentAt;
     });
   };
-  NodeBeat beat;
+  NodeHeartbeat beat;
   beat.Self = OwnerFixture::node("m", false);
   beat.SentAtUs = 7;
   node->send(pack(beat));
   REQUIRE(it.until([&] { return answered(7); }));
   // A brief one has no time of its own.
-  NodeBeat brief;
+  NodeHeartbeat brief;
   brief.Brief = true;
   node->send(pack(brief));
   auto heard = it.Heard["m"].size();
@@ -318,7 +320,7 @@
   OwnerFixture it;
   bool strong = GENERATE(true, false);
   it.OwnerStrong = strong;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto other = it.follow(OwnerFixture::node("m", strong));
   REQUIRE(it.until([&] { return it.entries() == 2; }));
   bool passed = false;
@@ -334,7 +336,7 @@
           "[gateway]") {
   OwnerFixture it;
   it.OwnerStrong = true;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto awake = it.follow(OwnerFixture::node("m", true));
   auto waits = it.follow(OwnerFixture::node("w", false, false));
   REQUIRE(it.until([&] { return it.entries() == 3; }));
@@ -350,7 +352,7 @@
   bool rosters = false;
   bool leases = false;
   for (const auto &at : it.Heard["w"]) {
-    rosters = rosters || at.RostersChanged;
+    rosters = rosters || at.EntriesChanged;
     leases = leases || !at.Leases.empty();
   }
   CHECK(rosters);
@@ -361,7 +363,7 @@
           "[gateway]") {
   OwnerFixture it;
   it.OwnerStrong = true;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   constexpr int Nodes = 8;
   std::vector<std::shared_ptr<PeerStream>> open;
   open.reserve(Nodes + 1);
@@ -369,7 +371,7 @@
     open.push_back(
         it.follow(OwnerFixture::node("w" + std::to_string(n), n < 2, n < 2)));
   REQUIRE(it.until([&] { return it.entries() == 3; }));
-  CHECK(it.Member->rosters()->front().Entries.back().Node == "w1");
+  CHECK(it.Member->servingEntries()->front().Entries.back().Node == "w1");
   open.push_back(it.follow(OwnerFixture::node("w1", true), 5000));
   REQUIRE(it.until([&] { return it.entries() > 5; }));
 }
@@ -379,7 +381,7 @@
           "[gateway]") {
   OwnerFixture it;
   it.OwnerStrong = true;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto owns = TimerService::now();
   REQUIRE(it.until([&] { return it.entries() > 0; }));
   CHECK(TimerService::now() - owns >= OwnerFixture::Settles / 2);
@@ -388,7 +390,7 @@
 TEST_CASE("a node that is gone is no longer named", "[gateway]") {
   OwnerFixture it;
   it.OwnerStrong = true;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto other = it.follow(OwnerFixture::node("m", true));
   REQUIRE(it.until([&] { return it.entries() == 2; }));
   other->close();
@@ -401,13 +403,13 @@
           "[gateway]") {
   OwnerFixture it;
   it.OwnerStrong = true;
-  REQUIRE(it.until([&] { return it.Member->owning(); }));
+  REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto follower = it.follow(OwnerFixture::node("m", true));
   REQUIRE(it.until([&] { return it.entries() == 2; }));
   it.Holds = true;
   it.Member->onSent("engine", 100, WeightsRef::parse("m/a"));
   it.Other = CellLeaseRow{"m", "q", "10.0.0.2:7", 9, false, false};
-  REQUIRE(it.until([&] { return !it.Member->owning(); }));
+  REQUIRE(it.until([&] { return !it.Member->isOwner(); }));
   it.settle();
   for (const auto &at : it.Heard["m"])
     CHECK(at.LeaseVersion < OwnerFixture::OtherVersion);
--- a/UnitTests/Node/Gateway/DeclaredInTimeTest.cpp
+++ b/UnitTests/Node/Gateway/DeclaredInTimeTest.cpp
@@ -7,7 +7,7 @@
 // force 2 s after it was confirmed. The evidence: with silences of 0.1, 0.6,
 // 1.9 and 4 s the plan came 3.4, 2.9, 1.6 and 3.3 s after its confirmation.
 
-#include "Programs/hemlockgladed/Gateway/RegistryWatch.h"
+#include "Programs/hemlockgladed/Gateway/RegistryWatcher.h"
 
 #include "UnitTests/Transport/Loopback.h"
 
@@ -121,15 +121,15 @@
       : Log(
             {"n"}, [](std::string_view) {},
             [] { return std::chrono::microseconds(0); }) {
-    RegistryWatch::Hooks out;
+    RegistryWatcher::Hooks out;
     out.OnOperator = [this](const OperatorChanges &it) {
       Known = std::max(Known, it.Position);
     };
     out.OnReplicas = [](const auto &, bool) {};
-    out.Tells = [tells] { return tells; };
-    out.OnNews = [] {};
-    Watch = std::make_unique<RegistryWatch>(
-        Timers, hooks(), RegistryWatch::Settings{}, std::move(out), Log);
+    out.InformsPeers = [tells] { return tells; };
+    out.OnUpdate = [] {};
+    Watch = std::make_unique<RegistryWatcher>(
+        Timers, hooks(), RegistryWatcher::Settings{}, std::move(out), Log);
     Watch->start(Span(0));
     until([this] { return Known == position(); });
   }
@@ -142,7 +142,7 @@
 
   EventLog Log;
   std::uint64_t Known = 0;
-  std::unique_ptr<RegistryWatch> Watch;
+  std::unique_ptr<RegistryWatcher> Watch;
 };
 
 } // namespace
@@ -171,7 +171,7 @@
   auto looks = it.replicaLooks();
   REQUIRE(it.until([&] { return it.replicaLooks() > looks; }));
   it.runFor(milliseconds(20));
-  auto news = it.Watch->newsSince(it.Watch->positions());
+  auto news = it.Watch->updateSince(it.Watch->positions());
   REQUIRE(news.OperatorPosition == it.position());
   auto least = TimerService::now() - silentAt - milliseconds(20);
   CHECK(Span(news.OperatorAgeUs) > least);
--- a/UnitTests/Node/Gateway/GatewayExchangeTest.cpp
+++ b/UnitTests/Node/Gateway/GatewayExchangeTest.cpp
@@ -106,7 +106,7 @@
                                                     crashHooks(),
                                                     limitHooks()},
         First(Context), Second(Context), Peer(Context) {
-    Budget.setPart(1);
+    Budget.setTrafficShare(1);
     Way.Name = "r";
     Way.Targets = {{"s", 1}};
     Way.Timeout = milliseconds(2000);
@@ -127,8 +127,8 @@
           CallerLimits{});
       View.setPlan(Plan);
       CallerAccess access;
-      access.Way = &Plan->routes()[0];
-      access.Space = Space ? &*Space : nullptr;
+      access.MatchedRoute = &Plan->routes()[0];
+      access.CallerWorkspace = Space ? &*Space : nullptr;
       Exchange = std::make_shared<GatewayExchange>(
           Shared, Setup, Plan, access, std::move(request), std::move(labels),
           std::move(reply));
@@ -145,27 +145,27 @@
     hooks.OnSent = [](const RequestKey &) {};
     hooks.OnBroken = [this](const ReplicaRecord &replica, const RequestKey &,
                             Instant, std::optional<Instant>) {
-      BrokenAt.push_back(replica.Life.text());
+      BrokenAt.push_back(replica.Incarnation.text());
     };
     hooks.OnGivenUp = [this](const ReplicaRecord &replica, const RequestKey &,
                              Instant, std::optional<Instant>) {
-      GivenUpAt.push_back(replica.Life.text());
+      GivenUpAt.push_back(replica.Incarnation.text());
     };
-    hooks.OnReplaced = [](const ReplicaLife &) {};
+    hooks.OnReplaced = [](const ReplicaIncarnation &) {};
     hooks.OnServed = [this](const RequestKey &) { ++Served; };
     return hooks;
   }
 
   LimitHooks limitHooks() {
     LimitHooks hooks;
-    hooks.Book = [this](const Workspace &, double units, auto decided) {
+    hooks.Reserve = [this](const Workspace &, double units, auto decided) {
       Booked += units;
       Decide = decided;
       if (Decides)
         decided(*Decides, milliseconds(1500));
     };
     hooks.Charge = [this](const Workspace &, double units) { Booked += units; };
-    hooks.GiveBack = [this](const Workspace &, double units) {
+    hooks.Release = [this](const Workspace &, double units) {
       Booked -= units;
     };
     return hooks;
@@ -181,7 +181,7 @@
     std::vector<ReplicaRecord> records;
     for (auto *it : {&First, &Second}) {
       ReplicaRecord record;
-      record.Life = ReplicaLife(it == &First ? "i-1" : "i-2");
+      record.Incarnation = ReplicaIncarnation(it == &First ? "i-1" : "i-2");
       record.Service = "s";
       record.Address = it->address();
       record.FailureDomain = it == &First ? "hall-a" : "hall-b";
@@ -222,14 +222,14 @@
 
   std::optional<Workspace> Space;
   /// What the limit says at once; none if it says later, by `Decide`.
-  std::optional<QuotaLink::Verdict> Decides = QuotaLink::Verdict::Go;
-  QuotaLink::Decided Decide;
+  std::optional<QuotaService::Verdict> Decides = QuotaService::Verdict::Allowed;
+  QuotaService::OnDecided Decide;
   /// Units booked, less those given back.
   double Booked = 0;
   std::vector<std::string> Lines;
   EventLog Log;
   ReplicaView View;
-  RepeatBudget Budget;
+  SharedRetryBudget Budget;
   HttpPool Pool;
   ExchangeContext Shared;
   ExchangeSettings Setup;
@@ -327,7 +327,7 @@
     CHECK(it.untilGot("hello"));
   }
   SECTION("and is refused with a time to come back if none does") {
-    it.Setup.HoldShare = 0.05;
+    it.Setup.MaxHoldShare = 0.05;
     it.Second.Script = {{shed}, {shed}, {shed}};
     it.ask();
     REQUIRE(it.untilGot("HTTP/1.1 503"));
@@ -491,7 +491,7 @@
   it.Way.Resumable = true;
   it.Way.MaxAttempts = 2;
   it.Way.TargetGap = milliseconds(20);
-  it.Setup.LeastStall = milliseconds(100);
+  it.Setup.MinStallTime = milliseconds(100);
   it.Way.TargetLatency = milliseconds(100);
   it.present();
   it.First.Script = {{StreamHead + chunk(event(1))}};
@@ -507,14 +507,14 @@
   SECTION("not run, if it was sent nowhere") {
     it.ask();
     REQUIRE(it.until([&] { return it.Exchange != nullptr; }));
-    it.Exchange->cut();
+    it.Exchange->abort();
     CHECK(it.untilGot("HTTP/1.1 503"));
   }
   SECTION("unknown, if it was sent") {
     it.present();
     it.ask();
     REQUIRE(it.until([&] { return it.First.Requests.size() == 1; }));
-    it.Exchange->cut();
+    it.Exchange->abort();
     CHECK(it.untilGot("HTTP/1.1 502"));
   }
 }
@@ -544,13 +544,13 @@
   it.Way.Resumable = true;
   it.Way.MaxAttempts = 2;
   it.Way.TargetGap = milliseconds(300);
-  it.Setup.OrphanPatience = milliseconds(60);
+  it.Setup.RestartGrace = milliseconds(60);
   it.present();
   it.First.Script = {{StreamHead + chunk(event(0))}};
   it.Second.Script = {{StreamHead + chunk(event(1)) + chunk("")}};
   it.ask();
   REQUIRE(it.untilGot("data: 0"));
-  it.Exchange->onRestarted(ReplicaLife("i-1"));
+  it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
   REQUIRE(it.untilEnd());
   CHECK(it.Outcome == "complete");
   CHECK(*findField(it.Second.Requests[0].Head.Fields, "Behind") == "0");
@@ -561,11 +561,11 @@
           "[gateway][life]") {
   ExchangeFixture it;
   it.Way.Kind = RouteKind::RunOnce;
-  it.Setup.OrphanPatience = milliseconds(60);
+  it.Setup.RestartGrace = milliseconds(60);
   it.present();
   it.ask();
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
-  it.Exchange->onRestarted(ReplicaLife("i-1"));
+  it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
   REQUIRE(it.untilGot("HTTP/1.1 502"));
   CHECK(it.Outcome == "replica started anew");
   CHECK(it.Second.Requests.empty());
@@ -575,13 +575,13 @@
           "[gateway][life]") {
   ExchangeFixture it;
   it.Way.Kind = RouteKind::RunOnce;
-  it.Setup.OrphanPatience = milliseconds(60);
+  it.Setup.RestartGrace = milliseconds(60);
   it.present();
   it.ask();
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
   TimerService timers(it.Context);
   auto telling = timers.every(milliseconds(20), [&it](Instant) {
-    it.Exchange->onRestarted(ReplicaLife("i-1"));
+    it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
   });
   auto from = TimerService::now();
   REQUIRE(it.untilGot("HTTP/1.1 502"));
@@ -592,15 +592,15 @@
           "[gateway][life]") {
   ExchangeFixture it;
   it.Way.Kind = RouteKind::Stream;
-  it.Setup.OrphanPatience = milliseconds(60);
+  it.Setup.RestartGrace = milliseconds(60);
   it.present();
   it.First.Script = {{StreamHead + chunk(event(0))}};
   it.ask();
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
-  it.Exchange->onRestarted(ReplicaLife("i-1"));
+  it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
   REQUIRE(it.untilGot("data: 0"));
   bool passed = false;
-  asio::steady_timer timer(it.Context, 3 * it.Setup.OrphanPatience);
+  asio::steady_timer timer(it.Context, 3 * it.Setup.RestartGrace);
   timer.async_wait([&passed](asio::error_code) { passed = true; });
   REQUIRE(it.until([&passed] { return passed; }));
   CHECK_FALSE(it.Ended);
@@ -630,7 +630,7 @@
   it.Way.Kind = RouteKind::Stream;
   it.Way.Resumable = true;
   it.Way.MaxAttempts = 2;
-  it.Setup.LeastStall = std::chrono::seconds(5);
+  it.Setup.MinStallTime = std::chrono::seconds(5);
   it.present(false);
   it.replaceWeights();
   it.First.Script = {{}, {StreamHead + chunk(event(0)) + chunk("")}};
@@ -650,7 +650,7 @@
   it.Way.Resumable = true;
   it.Way.MaxAttempts = 1;
   it.Way.TargetLatency = milliseconds(100);
-  it.Setup.LeastStall = milliseconds(100);
+  it.Setup.MinStallTime = milliseconds(100);
   it.present();
   it.replaceWeights();
   it.ask("Weights: m/a1\r\n");
@@ -743,7 +743,7 @@
   ExchangeFixture it;
   it.limit();
   it.present();
-  it.Decides = QuotaLink::Verdict::Limited;
+  it.Decides = QuotaService::Verdict::Limited;
   it.ask();
   REQUIRE(it.untilGot("limit"));
   CHECK(it.has(" 429 "));
@@ -762,7 +762,7 @@
   REQUIRE(it.until([&] { return it.Decide != nullptr; }));
   it.settle();
   CHECK(it.First.Requests.empty());
-  it.Decide(QuotaLink::Verdict::Go, Span(0));
+  it.Decide(QuotaService::Verdict::Allowed, Span(0));
   REQUIRE(it.untilGot("hello"));
   CHECK(it.Booked == 200);
 }
@@ -777,7 +777,7 @@
   REQUIRE(it.until([&] { return it.Decide != nullptr; }));
   it.Peer.close();
   REQUIRE(it.untilEnd());
-  it.Decide(QuotaLink::Verdict::Go, Span(0));
+  it.Decide(QuotaService::Verdict::Allowed, Span(0));
   CHECK(it.Booked == 0);
   CHECK(it.First.Requests.empty());
 }
--- a/UnitTests/Node/Gateway/GatewayRig.h
+++ b/UnitTests/Node/Gateway/GatewayRig.h
@@ -67,8 +67,8 @@
   /// Registers one more replica, `i-1`, `i-2` and so on.
   void addReplica(const std::string &address) {
     ReplicaRecord record;
-    record.Life =
-        ReplicaLife("i-" + std::to_string(Replicas.Present.size() + 1));
+    record.Incarnation =
+        ReplicaIncarnation("i-" + std::to_string(Replicas.Present.size() + 1));
     record.Service = "s";
     record.Address = address;
     record.FailureDomain = "hall-a";
@@ -81,7 +81,7 @@
   /// Its entry goes.
   void removeReplica(const std::string &id) {
     std::erase_if(Replicas.Present,
-                  [&id](const auto &it) { return it.Life.id() == id; });
+                  [&id](const auto &it) { return it.Incarnation.id() == id; });
     Replicas.Removed.push_back(id);
   }
 
@@ -115,7 +115,7 @@
       if (Away)
         return fail(done);
       auto all = Replicas;
-      all.Whole = true;
+      all.Complete = true;
       answer(done, all);
     };
     out.Registry.WatchReplicas = [this](std::uint64_t, auto done) {
@@ -125,14 +125,14 @@
         return fail(done, RegistryError::HistoryGone);
       answer(done, Replicas);
     };
-    out.Registry.ReadPlan = [this](std::string_view source) {
+    out.Registry.ParsePlan = [this](std::string_view source) {
       auto it = Known.find(std::string(source));
       return it == Known.end() ? nullptr : it->second;
     };
-    out.Registry.ReadReplica = [this](std::string_view incarnation,
-                                      std::string_view source) {
+    out.Registry.ParseReplica = [this](std::string_view incarnation,
+                                       std::string_view source) {
       ReplicaRecord record;
-      record.Life = ReplicaLife(std::string(incarnation));
+      record.Incarnation = ReplicaIncarnation(std::string(incarnation));
       record.Service = "s";
       record.Address = source;
       record.FailureDomain = "hall-a";
--- a/UnitTests/Node/Gateway/RegistryWatchTest.cpp
+++ b/UnitTests/Node/Gateway/RegistryWatcherTest.cpp
@@ -1,4 +1,4 @@
-#include "Programs/hemlockgladed/Gateway/RegistryWatch.h"
+#include "Programs/hemlockgladed/Gateway/RegistryWatcher.h"
 
 #include "UnitTests/Transport/Loopback.h"
 
@@ -47,38 +47,39 @@
       ++Looks;
       post([done, this] { done(ReplicaChanges{false, {}, {}, Position}); });
     };
-    registry.ReadPlan = [](std::string_view) {
+    registry.ParsePlan = [](std::string_view) {
       return std::shared_ptr<const RoutePlan>();
     };
-    registry.ReadReplica = [](std::string_view incarnation,
-                              std::string_view source) {
+    registry.ParseReplica = [](std::string_view incarnation,
+                               std::string_view source) {
       if (source == "unreadable")
         return std::optional<ReplicaRecord>();
       ReplicaRecord out;
-      out.Life = ReplicaLife(std::string(incarnation));
+      out.Incarnation = ReplicaIncarnation(std::string(incarnation));
       return std::optional(out);
     };
-    RegistryWatch::Settings settings;
-    settings.Pace.OperatorWait = milliseconds(50);
-    settings.Pace.ReplicaPeriod = milliseconds(100);
-    settings.ToldSlack = slack;
-    settings.ToldSilence = silence;
-    settings.Pace.Pause = milliseconds(10);
+    RegistryWatcher::Settings settings;
+    settings.Poll.MaxOperatorWait = milliseconds(50);
+    settings.Poll.ReplicaPeriod = milliseconds(100);
+    settings.PeerUpdateSlack = slack;
+    settings.OwnerSilence = silence;
+    settings.Poll.RetryPause = milliseconds(10);
     settings.StandbyPause = milliseconds(200);
-    settings.Pace.OperatorAge = settings.Pace.ReplicaAge = milliseconds(1500);
-    RegistryWatch::Hooks hooks;
+    settings.Poll.MaxOperatorAge = settings.Poll.MaxReplicaAge =
+        milliseconds(1500);
+    RegistryWatcher::Hooks hooks;
     hooks.OnOperator = [this](const auto &it) {
       Versions += it.Versions.size();
     };
     hooks.OnReplicas = [this](const auto &it, bool) {
       for (const auto &at : it.Present)
-        Present.push_back(at.Life.id());
+        Present.push_back(at.Incarnation.id());
     };
-    hooks.Tells = [this] { return Tells; };
+    hooks.InformsPeers = [this] { return Tells; };
     hooks.StandsBy = [this] { return StandsBy; };
-    hooks.OnNews = [this] { ++News; };
-    Watch = std::make_unique<RegistryWatch>(Timers, registry, settings,
-                                            std::move(hooks), Log);
+    hooks.OnUpdate = [this] { ++News; };
+    Watch = std::make_unique<RegistryWatcher>(Timers, registry, settings,
+                                              std::move(hooks), Log);
     if (!starts)
       return;
     Watch->start(Span(0));
@@ -103,11 +104,11 @@
   void tellAgainAndAgain(Span age, Span onItsWay = Span(0)) {
     Telling = Timers.every(milliseconds(20), [this, age, onItsWay](Instant) {
       ++Tellings;
-      RegistryNews news;
+      RegistryUpdate news;
       news.OperatorFrom = news.ReplicaFrom = Position;
       news.OperatorPosition = news.ReplicaPosition = Position;
       news.ReplicaAgeUs = news.OperatorAgeUs = age.count();
-      Watch->onTold(news, TimerService::now() - onItsWay);
+      Watch->onPeerUpdate(news, TimerService::now() - onItsWay);
     });
   }
   bool untilTold(int times) {
@@ -131,7 +132,7 @@
   std::size_t Versions = 0;
   std::vector<std::string> Present;
   int Tellings = 0;
-  std::unique_ptr<RegistryWatch> Watch;
+  std::unique_ptr<RegistryWatcher> Watch;
   TimerService::Subscription Telling;
 };
 
@@ -249,25 +250,25 @@
 TEST_CASE("news are taken only where they follow on what is known",
           "[gateway]") {
   WatchFixture it;
-  RegistryNews news;
+  RegistryUpdate news;
   news.ReplicaFrom = 10;
   news.ReplicaPosition = 12;
   news.Registered = {{{{"i-1", "text"}}, {}}};
   SECTION("those that do") {
-    it.Watch->onTold(news, TimerService::now());
+    it.Watch->onPeerUpdate(news, TimerService::now());
     CHECK(it.Present == std::vector<std::string>{"i-1"});
     CHECK(it.Watch->positions().Replica == 12);
   }
   SECTION("not behind a gap") {
     news.ReplicaFrom = 11;
-    it.Watch->onTold(news, TimerService::now());
+    it.Watch->onPeerUpdate(news, TimerService::now());
     CHECK(it.Present.empty());
     CHECK(it.Watch->positions().Replica == 10);
   }
   SECTION("not twice") {
-    it.Watch->onTold(news, TimerService::now());
+    it.Watch->onPeerUpdate(news, TimerService::now());
     news.ReplicaPosition = 11;
-    it.Watch->onTold(news, TimerService::now());
+    it.Watch->onPeerUpdate(news, TimerService::now());
     CHECK(it.Present.size() == 1);
   }
 }
@@ -276,18 +277,18 @@
 // again, and the plan before stays in force until the next one.
 TEST_CASE("a node does not pass what it was told and can't read", "[gateway]") {
   WatchFixture it;
-  RegistryNews news;
+  RegistryUpdate news;
   news.ReplicaFrom = news.OperatorFrom = 10;
   news.ReplicaPosition = news.OperatorPosition = 12;
   SECTION("a plan") {
     news.Declared = {{"unreadable", {}}};
-    it.Watch->onTold(news, TimerService::now());
+    it.Watch->onPeerUpdate(news, TimerService::now());
     CHECK(it.Watch->positions().Operator == 10);
     CHECK(it.Watch->positions().Replica == 12);
   }
   SECTION("a replica") {
     news.Registered = {{{{"i-1", "unreadable"}}, {}}};
-    it.Watch->onTold(news, TimerService::now());
+    it.Watch->onPeerUpdate(news, TimerService::now());
     CHECK(it.Watch->positions().Operator == 12);
     CHECK(it.Watch->positions().Replica == 10);
   }
@@ -300,7 +301,7 @@
   it.Watch->onDeclared(Span(0), TimerService::now());
   it.HeldLooks[0](
       OperatorChanges{nullptr, {{WeightsRef::parse("m/a"), 3}}, 11});
-  auto told = it.Watch->newsSince({10, 10});
+  auto told = it.Watch->updateSince({10, 10});
   REQUIRE(told.Declared.size() == 1);
   CHECK(Span(told.Declared[0].Versions[0].AgeUs) >=
         TimerService::now() - heldAt - milliseconds(1));
@@ -312,26 +313,27 @@
   auto heldAt = it.holdLook();
   // Something changed that is neither a plan nor a version.
   it.HeldLooks[0](OperatorChanges{nullptr, {}, 11, true});
-  CHECK(it.Watch->sureAge() >= TimerService::now() - heldAt - milliseconds(1));
+  CHECK(it.Watch->confirmedAge() >=
+        TimerService::now() - heldAt - milliseconds(1));
 }
 
 TEST_CASE("what a node was told it tells on", "[gateway]") {
   WatchFixture it;
-  RegistryNews news;
+  RegistryUpdate news;
   news.ReplicaFrom = news.OperatorFrom = 10;
   news.ReplicaPosition = news.OperatorPosition = 12;
   news.Registered = {{{{"i-1", "text"}}, {}}};
   news.Declared = {{"", {{"m/a", 3}}}};
-  it.Watch->onTold(news, TimerService::now());
+  it.Watch->onPeerUpdate(news, TimerService::now());
   CHECK(it.News == 2);
   CHECK(it.Versions == 1);
-  auto told = it.Watch->newsSince({10, 10});
+  auto told = it.Watch->updateSince({10, 10});
   REQUIRE(told.Registered.size() == 1);
   CHECK(told.Registered[0].Present[0].first == "i-1");
   REQUIRE(told.Declared.size() == 1);
   CHECK(told.Declared[0].Versions[0].Version == 3);
   CHECK(told.ReplicaPosition == 12);
-  CHECK(it.Watch->newsSince({1, 1}).ReplicaPosition == 0);
+  CHECK(it.Watch->updateSince({1, 1}).ReplicaPosition == 0);
 }
 
 // A suspended host's buffers may keep a message for long.
@@ -342,7 +344,7 @@
   static constexpr Span Known = std::chrono::hours(1);
   static constexpr Span OnWay = std::chrono::minutes(1);
   it.Watch->onBriefed({10, 10}, Span(0), Span(0), now - Known);
-  RegistryNews news;
+  RegistryUpdate news;
   news.OperatorFrom = 10;
   news.OperatorPosition = 12;
   auto [age, least, most] =
@@ -351,8 +353,8 @@
                                         // What was not known then came later.
                                         {2 * Known, Known, 2 * Known}}));
   news.Declared = {{"", {{"m/a", 3, age.count()}}}};
-  it.Watch->onTold(news, now - OnWay);
-  auto told = it.Watch->newsSince({10, 10});
+  it.Watch->onPeerUpdate(news, now - OnWay);
+  auto told = it.Watch->updateSince({10, 10});
   REQUIRE(told.Declared.size() == 1);
   auto named = Span(told.Declared[0].Versions[0].AgeUs);
   CHECK(named >= least);
--- a/UnitTests/Platform/DocumentsTest.cpp
+++ b/UnitTests/Platform/DocumentsTest.cpp
@@ -203,9 +203,9 @@
       R"("cold_remaining_ms":10,"sequence":4,"models":[{"name":"m",)"
       R"("version":2,"adapters":["a1@3","a2"]}]})");
   REQUIRE(replica);
-  CHECK(replica->Life.text() == "i-1");
+  CHECK(replica->Incarnation.text() == "i-1");
   CHECK(replica->Draining);
-  CHECK(replica->LeavesIn == milliseconds(1800));
+  CHECK(replica->TerminatesIn == milliseconds(1800));
   CHECK(replica->Held.at({"m", ""}) == 2);
   CHECK(replica->Held.at({"m", "a1"}) == 3);
   CHECK(replica->Held.at({"m", "a2"}) == 0);
@@ -312,8 +312,9 @@
 TEST_CASE("a replica's life is its id and its start", "[documents][life]") {
   auto replica = readReplica("i-1", Entry);
   REQUIRE(replica);
-  CHECK(replica->Life == ReplicaLife("i-1", 1733184000123));
-  CHECK(readReplica("i-1", withField("born", ""))->Life == ReplicaLife("i-1"));
+  CHECK(replica->Incarnation == ReplicaIncarnation("i-1", 1733184000123));
+  CHECK(readReplica("i-1", withField("born", ""))->Incarnation ==
+        ReplicaIncarnation("i-1"));
   auto report = readReport(R"({"sequence":1,"models":[],"born":17})");
   REQUIRE(report);
   CHECK(report->StartedAtMs == 17);
--- a/UnitTests/Platform/Soak/SoakWorkspaces.cpp
+++ b/UnitTests/Platform/Soak/SoakWorkspaces.cpp
@@ -1,6 +1,6 @@
 #include "UnitTests/Platform/Soak/SoakWorkspaces.h"
 
-#include "Hemlockglade/Coordination/Quota/QuotaParts.h"
+#include "Hemlockglade/Coordination/Quota/QuotaShares.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/UnitTests/Platform/StoreTest.cpp
+++ b/UnitTests/Platform/StoreTest.cpp
@@ -86,7 +86,7 @@
 
   ReplicaRecord replica() const {
     ReplicaRecord out;
-    out.Life = ReplicaLife("i-1");
+    out.Incarnation = ReplicaIncarnation("i-1");
     out.Address = address(Server->port());
     return out;
   }
@@ -203,7 +203,7 @@
   it.Store->registry().WatchReplicas(5, [&](auto got) { result = got; });
   auto changes = it.wait(result);
   REQUIRE(changes);
-  CHECK_FALSE(changes->Whole);
+  CHECK_FALSE(changes->Complete);
   CHECK(changes->Present.size() == 1);
   CHECK(changes->Removed == std::vector<std::string>{"i-2"});
   CHECK(it.Calls[0].Head.Target ==
@@ -262,7 +262,7 @@
   it.Era = "3";
   auto first = it.readReplicas();
   REQUIRE(first);
-  CHECK_FALSE(first->SteppedBack);
+  CHECK_FALSE(first->RolledBack);
   it.Era = "4";
   CHECK(it.watchReplicas(first->Position).error() ==
         RegistryError::HistoryGone);
@@ -272,9 +272,9 @@
   CHECK(it.Calls.size() == calls);
   auto second = it.readReplicas();
   REQUIRE(second);
-  CHECK(second->SteppedBack);
+  CHECK(second->RolledBack);
   CHECK(second->Position > first->Position);
-  CHECK_FALSE(it.readReplicas()->SteppedBack);
+  CHECK_FALSE(it.readReplicas()->RolledBack);
 }
 
 TEST_CASE("an engine's answer to an order is told apart", "[store]") {
@@ -315,8 +315,8 @@
     auto changes = it.wait(result);
     REQUIRE(changes);
     REQUIRE(changes->Present.size() == 2);
-    CHECK(changes->Present[1].Life.id() == "i-5");
-    CHECK(changes->Unread ==
+    CHECK(changes->Present[1].Incarnation.id() == "i-5");
+    CHECK(changes->Unreadable ==
           std::vector<std::string>{"i-0", "i-2", "i-3", "i-4"});
   }
   CHECK(it.Lines.size() == 4);
@@ -335,7 +335,7 @@
   auto changes = it.wait(result);
   REQUIRE(changes);
   REQUIRE(changes->Present.size() == 1);
-  CHECK(changes->Present[0].Life.id() == "i-1");
+  CHECK(changes->Present[0].Incarnation.id() == "i-1");
   CHECK(changes->Removed == std::vector<std::string>{"i-2"});
 }
 
--- a/UnitTests/Protocol/Settings/GatewaySettingsTest.cpp
+++ b/UnitTests/Protocol/Settings/GatewaySettingsTest.cpp
@@ -69,7 +69,7 @@
   CHECK(settings->Decisions.Route.BacklogCost == Approx(2));
   CHECK(settings->Decisions.Desk.FastHalfLife == Span(0));
   CHECK(settings->Decisions.Desk.RatePerCopy ==
-        CellDesk::Settings{}.RatePerCopy);
+        CellPlacement::Settings{}.RatePerCopy);
   auto wrong = readGatewaySettings(
       Least + "decisions:\n  backlog_cost: much\n  hold_share: 2\n  odd: 1\n",
       "f");
@@ -87,13 +87,14 @@
   const DecisionSettings defaults;
   CHECK(now.Route.BacklogCost == Approx(defaults.Route.BacklogCost));
   CHECK(now.Route.PaceBacklog == defaults.Route.PaceBacklog);
-  CHECK(now.Desk.Pace.FirstPerRate == Approx(defaults.Desk.Pace.FirstPerRate));
+  CHECK(now.Desk.Concurrency.FirstPerRate ==
+        Approx(defaults.Desk.Concurrency.FirstPerRate));
   CHECK(now.Desk.FastHalfLife == defaults.Desk.FastHalfLife);
   CHECK(now.Desk.PressedRatePerCopy ==
         Approx(defaults.Desk.PressedRatePerCopy));
   CHECK(now.Desk.WantLasts == defaults.Desk.WantLasts);
-  CHECK(now.Exchange.PressedAfter == defaults.Exchange.PressedAfter);
-  CHECK(now.Exchange.LeastStall == defaults.Exchange.LeastStall);
+  CHECK(now.Exchange.CongestedAfter == defaults.Exchange.CongestedAfter);
+  CHECK(now.Exchange.MinStallTime == defaults.Exchange.MinStallTime);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/State/Routing/WorkspaceTest.cpp
+++ b/UnitTests/State/Routing/WorkspaceTest.cpp
@@ -10,7 +10,7 @@
 
 WorkspaceDeclaration space(std::string name, std::vector<std::string> keys) {
   WorkspaceDeclaration out;
-  out.Of.Name = std::move(name);
+  out.Declared.Name = std::move(name);
   out.Keys = std::move(keys);
   return out;
 }
@@ -60,30 +60,31 @@
 
 TEST_CASE("route and workspace of a request are found", "[workspace]") {
   auto of = plan(WorkspaceDirectory({space("red", {"k1"})}));
-  auto good = accessOf(of, "a.example", "/x/1", "k1");
+  auto good = resolveAccess(of, "a.example", "/x/1", "k1");
   CHECK(good.Denied == Denial::None);
-  CHECK(good.Way->Name == "/x/");
-  CHECK(good.Space->Name == "red");
-  CHECK(accessOf(of, "a.example", "/x/1", "").Denied == Denial::NoKey);
-  CHECK(accessOf(of, "a.example", "/x/1", "k").Denied == Denial::UnknownKey);
-  CHECK(accessOf(of, "a.example", "/y/", "k1").Denied == Denial::NoRoute);
-  CHECK(accessOf(of, "a.example", "/y/", "k").Denied == Denial::NoRoute);
+  CHECK(good.MatchedRoute->Name == "/x/");
+  CHECK(good.CallerWorkspace->Name == "red");
+  CHECK(resolveAccess(of, "a.example", "/x/1", "").Denied == Denial::NoKey);
+  CHECK(resolveAccess(of, "a.example", "/x/1", "k").Denied ==
+        Denial::UnknownKey);
+  CHECK(resolveAccess(of, "a.example", "/y/", "k1").Denied == Denial::NoRoute);
+  CHECK(resolveAccess(of, "a.example", "/y/", "k").Denied == Denial::NoRoute);
   // Open to all: also to those whose key is unknown, and counted for nobody.
   for (const auto *key : {"", "k", "k1"}) {
-    auto open = accessOf(of, "a.example", "/open/1", key);
+    auto open = resolveAccess(of, "a.example", "/open/1", key);
     CHECK(open.Denied == Denial::None);
-    CHECK_FALSE(open.Space);
+    CHECK_FALSE(open.CallerWorkspace);
   }
 }
 
 TEST_CASE("a plan without workspaces asks for no key", "[workspace]") {
   auto of = plan({});
-  auto found = accessOf(of, "a.example", "/x/1", "k1");
+  auto found = resolveAccess(of, "a.example", "/x/1", "k1");
   CHECK(found.Denied == Denial::None);
-  CHECK_FALSE(found.Space);
+  CHECK_FALSE(found.CallerWorkspace);
   // An empty list is not the same: nobody has a key.
   auto nobody = plan(WorkspaceDirectory(std::vector<WorkspaceDeclaration>{}));
-  CHECK(accessOf(nobody, "a.example", "/x/1", "k1").Denied ==
+  CHECK(resolveAccess(nobody, "a.example", "/x/1", "k1").Denied ==
         Denial::UnknownKey);
 }
 
