--- a/Hemlockglade/Coordination/Orders/CellLease.cpp
+++ b/Hemlockglade/Coordination/Orders/CellLease.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Era of a table that has never come back older than it was.
+/// Era of a table that has never been restored from an older copy.
 constexpr std::uint64_t FirstEra = 1;
 
 } // namespace
@@ -54,261 +54,274 @@
 
 CellLease::CellLease(std::string cell, Settings settings, TableHooks table,
                      Clock clock, OnChange onChange)
-    : Cell(std::move(cell)), Setup(std::move(settings)),
+    : Cell(std::move(cell)), Options(std::move(settings)),
       Table(std::move(table)), Now(std::move(clock)),
-      Changed(std::move(onChange)), LookPause(Setup.LookEvery) {}
+      NotifyChange(std::move(onChange)),
+      CurrentReadInterval(Options.ReadInterval) {}
 
 bool CellLease::isOwn(const CellLeaseRow &row) const {
-  return row.Holder == Setup.Holder && row.Incarnation == Setup.Incarnation;
+  return row.Holder == Options.Holder && row.Incarnation == Options.Incarnation;
 }
 
 bool CellLease::mayOrder() const {
   auto now = Now();
-  return Mine && !Leaving && now >= std::max(OrdersFrom, AbstainsUntil) &&
+  return IsHolder && !Releasing && now >= std::max(OrdersFrom, AbstainUntil) &&
          now < ValidUntil;
 }
 
 Span CellLease::remaining() const {
-  return Mine ? std::max(Span(0), ValidUntil - Now()) : Span(0);
+  return IsHolder ? std::max(Span(0), ValidUntil - Now()) : Span(0);
 }
 
-void CellLease::watchValidity() {
+void CellLease::checkValidity() {
   bool ordering = mayOrder();
   if (ordering == WasOrdering)
     return;
   WasOrdering = ordering;
   if (ordering)
-    TellOrdering = true;
-  Changed(ordering ? LeaseChange::MayOrder : LeaseChange::Lapsed, *this);
+    MustWriteOrdering = true;
+  NotifyChange(ordering ? LeaseChange::MayOrder : LeaseChange::Lapsed, *this);
 }
 
-void CellLease::tick(Span reluctance, Span leastLook) {
-  Reluctance = reluctance;
-  noteEra();
-  watchValidity();
-  if (Busy)
+void CellLease::tick(Span takeoverDelay, Span minReadInterval) {
+  TakeoverDelay = takeoverDelay;
+  updateEra();
+  checkValidity();
+  if (RequestPending)
     return;
   auto now = Now();
-  if (Leaving)
-    return giveUp();
-  if (Mine) {
-    bool due = now - RenewedAt >= Setup.RenewEvery;
-    if (due || std::exchange(TellOrdering, false))
+  if (Releasing)
+    return writeRelease();
+  if (IsHolder) {
+    bool isDue = now - RenewedAt >= Options.RenewInterval;
+    if (isDue || std::exchange(MustWriteOrdering, false))
       renew();
     return;
   }
-  if (now - HeardAt < Setup.Silence)
+  if (now - HeartbeatAt < Options.HolderGracePeriod)
     return;
-  if (!InDoubt && Row && now >= std::max(FreeAt + reluctance, AbstainsUntil))
-    return take(FreeAt, FreeAt + Setup.Handover + Setup.OrderTravel);
-  if (now - LookedAt >= std::max(LookPause, leastLook))
-    look();
+  if (!VersionUncertain && Row &&
+      now >= std::max(FreeAt + takeoverDelay, AbstainUntil))
+    return takeOver(FreeAt,
+                    FreeAt + Options.Handover + Options.MaxOrderTransit);
+  if (now - LastReadAt >= std::max(CurrentReadInterval, minReadInterval))
+    readRow();
 }
 
-void CellLease::noteEra() {
+void CellLease::updateEra() {
   auto era = Table.Era ? Table.Era() : 0;
   if (era <= Era)
     return;
   Era = era;
-  SteppedBack = SteppedBack || Answered;
+  EraRose = EraRose || TableAnswered;
   auto now = Now();
-  // Leases were granted until the table went away, before this was seen.
-  OldLeasesEnd = now + Setup.Validity;
-  auto ordersFrom = OldLeasesEnd + Setup.Handover + Setup.OrderTravel;
-  InDoubt = true;
-  // Another may have taken an expired one over.
-  if (Mine && now >= ValidUntil)
-    lose();
-  if (Mine && now < OrdersFrom)
+  // The table granted leases until it became unavailable, which was before now.
+  PriorLeasesEnd = now + Options.Validity;
+  auto ordersFrom = PriorLeasesEnd + Options.Handover + Options.MaxOrderTransit;
+  VersionUncertain = true;
+  // Another node may have taken an expired lease over.
+  if (IsHolder && now >= ValidUntil)
+    markLost();
+  if (IsHolder && now < OrdersFrom)
     OrdersFrom = std::max(OrdersFrom, ordersFrom);
-  if (Mine)
+  if (IsHolder)
     return;
-  // One that took effect in this era was meant for another row, and its epoch
-  // number may have been given out.
-  Attempt.reset();
-  FreeAt = std::max(FreeAt, OldLeasesEnd);
+  // A write that took effect in this era was meant for another row, and its
+  // fencing number may have been given out to another holder.
+  UnconfirmedRow.reset();
+  FreeAt = std::max(FreeAt, PriorLeasesEnd);
 }
 
 Epoch CellLease::nextFence() const {
   auto known = std::max(HighestFence, Row ? Row->Fence : 0);
   if (Era == 0)
     return known + 1;
-  // The table may have forgotten the last number, and a late change may have
-  // written over it. Versions rise all the same, and each is taken over once.
+  // The table may have lost the last fencing number, and a late write may have
+  // overwritten it. Versions rise all the same, and each is taken over once.
   return std::max({known, Version, TableEra::startOf(Era)}) + 1;
 }
 
-bool CellLease::isOfThisEra(const CellLeaseRow &row) const {
+bool CellLease::isFromCurrentEra(const CellLeaseRow &row) const {
   return TableEra::eraOf(row.Fence) == Era;
 }
 
 void CellLease::renew() {
-  if (InDoubt)
-    return look();
+  if (VersionUncertain)
+    return readRow();
   RenewedAt = Now();
   auto row = *Row;
   row.Ordering = mayOrder();
   commit(row, FreeAt, OrdersFrom);
 }
 
-void CellLease::look() {
-  Busy = true;
+void CellLease::readRow() {
+  RequestPending = true;
   auto sentAt = Now();
-  LookedAt = sentAt;
+  LastReadAt = sentAt;
   Table.Get(key(), [self = shared_from_this(), sentAt](auto result) {
-    self->Busy = false;
-    self->noteEra();
-    self->Answered = self->Answered || result.has_value();
-    const auto &setup = self->Setup;
-    self->LookPause = result ? setup.LookEvery
-                             : std::min(setup.LongestLook, self->LookPause * 2);
+    self->RequestPending = false;
+    self->updateEra();
+    self->TableAnswered = self->TableAnswered || result.has_value();
+    const auto &options = self->Options;
+    self->CurrentReadInterval =
+        result
+            ? options.ReadInterval
+            : std::min(options.MaxReadInterval, self->CurrentReadInterval * 2);
     if (result)
-      self->onRow(*result, sentAt);
+      self->onRowRead(*result, sentAt);
   });
 }
 
-void CellLease::onRow(const std::optional<TableRow> &row, Instant sentAt) {
+void CellLease::onRowRead(const std::optional<TableRow> &row, Instant sentAt) {
   auto now = Now();
   if (!row)
-    return onNoRow();
-  Forgotten = false;
+    return onRowMissing();
+  RowMissing = false;
   auto parsed = CellLeaseRow::parse(row->Value);
   if (!parsed)
     parsed = CellLeaseRow{};
-  InDoubt = false;
+  VersionUncertain = false;
   if (ReadNotes)
     ReadNotes(parsed->Notes);
   HighestFence = std::max(HighestFence, parsed->Fence);
-  // While the own lease lasts nobody else can have one: a row of no later epoch
-  // is from an older copy of the table, or was meant for one.
+  // While this node's lease lasts no other node can hold one: a row without a
+  // later fencing number is from an older copy of the table, or was written for
+  // one.
   bool isOther = !isOwn(*parsed) || parsed->Fence != Row->Fence;
-  if (Mine && now < ValidUntil && isOther && parsed->Fence <= Row->Fence) {
-    Attempt.reset();
+  if (IsHolder && now < ValidUntil && isOther && parsed->Fence <= Row->Fence) {
+    UnconfirmedRow.reset();
     Version = row->Version;
-    return Leaving ? giveUp() : renew();
+    return Releasing ? writeRelease() : renew();
   }
   if (isOwn(*parsed))
     return onOwnRow(*parsed, row->Version);
-  lose();
+  markLost();
   if (row->Version == Version && Row)
     return;
-  adopt(*parsed, row->Version);
-  bool sameHost = parsed->Holder == Setup.Holder;
-  if (!isOfThisEra(*parsed)) {
-    // It may be from an older copy of the table, which lacks its successor.
-    FreeAt = now + Setup.Validity;
+  setRow(*parsed, row->Version);
+  bool sameHost = parsed->Holder == Options.Holder;
+  if (!isFromCurrentEra(*parsed)) {
+    // The row may be from an older copy of the table, which lacks its
+    // successor.
+    FreeAt = now + Options.Validity;
   } else if (parsed->Released) {
     FreeAt = sentAt;
   } else if (sameHost) {
-    // The process before this one on the same host is gone. Its right to
-    // order goes over, unless it was still waiting for another host's to end.
+    // The previous process on this host has ended. Its right to order passes to
+    // this one, unless it was still waiting for another host's right to end.
     FreeAt = now;
-    if (!Leaving)
-      take(now,
-           parsed->Ordering ? now : now + Setup.Handover + Setup.OrderTravel);
+    if (!Releasing)
+      takeOver(now, parsed->Ordering
+                        ? now
+                        : now + Options.Handover + Options.MaxOrderTransit);
   } else {
-    // What the holder itself told of this version is nearer than what a row
-    // that is seen for the first time allows, so that a cell whose holder the
-    // table turns away gets orders again sooner.
-    FreeAt = row->Version == HeardVersion ? HeardFreeAt : now + Setup.Validity;
+    // The holder's own heartbeat for this version gives an earlier end than a
+    // row that is read for the first time. A cell whose holder the table
+    // refuses gets orders again sooner.
+    FreeAt = row->Version == HeartbeatVersion ? HeartbeatFreeAt
+                                              : now + Options.Validity;
   }
 }
 
-void CellLease::onNoRow() {
+void CellLease::onRowMissing() {
   auto now = Now();
-  InDoubt = false;
+  VersionUncertain = false;
   Version = 0;
-  if (Mine && now < ValidUntil)
-    return Leaving ? giveUp() : renew();
-  lose();
+  if (IsHolder && now < ValidUntil)
+    return Releasing ? writeRelease() : renew();
+  markLost();
   if (Row) {
-    // The table has forgotten who held it since.
-    if (!std::exchange(Forgotten, true))
-      FreeAt = std::max(FreeAt, now + Setup.Validity);
+    // The table has lost the rows of later holders.
+    if (!std::exchange(RowMissing, true))
+      FreeAt = std::max(FreeAt, now + Options.Validity);
     return;
   }
-  if (!FirstLookAt)
-    FirstLookAt = now;
-  // Nobody has ever held this lease, unless the table has forgotten who did.
-  bool mayBeHeld = SteppedBack || Era > FirstEra;
-  if (Leaving || now - *FirstLookAt < Reluctance ||
-      (mayBeHeld && now < OldLeasesEnd))
+  if (!FirstMissingAt)
+    FirstMissingAt = now;
+  // Nobody has ever held this lease, unless the table has lost the row.
+  bool mayBeHeld = EraRose || Era > FirstEra;
+  if (Releasing || now - *FirstMissingAt < TakeoverDelay ||
+      (mayBeHeld && now < PriorLeasesEnd))
     return;
-  auto ordersFrom = mayBeHeld ? now + Setup.Handover + Setup.OrderTravel : now;
-  commit({Setup.Holder, Setup.Incarnation, Setup.Address, nextFence(), false,
-          false},
+  auto ordersFrom =
+      mayBeHeld ? now + Options.Handover + Options.MaxOrderTransit : now;
+  commit({Options.Holder, Options.Incarnation, Options.Address, nextFence(),
+          false, false},
          now, ordersFrom);
 }
 
 void CellLease::onOwnRow(const CellLeaseRow &row, std::uint64_t version) {
-  bool known = Mine || (Attempt && Attempt->Fence == row.Fence);
+  bool known =
+      IsHolder || (UnconfirmedRow && UnconfirmedRow->Fence == row.Fence);
   bool isNew = version != Version;
   Version = version;
   Row = row;
-  if (known && !Mine) {
-    Mine = true;
-    ValidUntil = AttemptSentAt + Setup.Validity;
-    OrdersFrom = AttemptOrdersFrom;
-    Changed(LeaseChange::Taken, *this);
+  if (known && !IsHolder) {
+    IsHolder = true;
+    ValidUntil = UnconfirmedSentAt + Options.Validity;
+    OrdersFrom = UnconfirmedOrdersFrom;
+    NotifyChange(LeaseChange::Taken, *this);
   }
-  Attempt.reset();
-  // One that was lost comes back from an older copy of the table, which lacks
-  // whoever took it over.
-  if (!known && isNew && !(row.Released && isOfThisEra(row)))
-    FreeAt = std::max(FreeAt, Now() + Setup.Validity);
-  if (Leaving)
-    return giveUp();
-  if (Mine)
+  UnconfirmedRow.reset();
+  // A lease that was lost comes back from an older copy of the table, which
+  // lacks the row of the node that took it over.
+  if (!known && isNew && !(row.Released && isFromCurrentEra(row)))
+    FreeAt = std::max(FreeAt, Now() + Options.Validity);
+  if (Releasing)
+    return writeRelease();
+  if (IsHolder)
     renew();
 }
 
-void CellLease::adopt(const CellLeaseRow &row, std::uint64_t version) {
-  bool other =
+void CellLease::setRow(const CellLeaseRow &row, std::uint64_t version) {
+  bool isOther =
       !Row || Row->Holder != row.Holder || Row->Incarnation != row.Incarnation;
   Row = row;
   Version = version;
-  if (other)
-    Changed(LeaseChange::HolderSeen, *this);
+  if (isOther)
+    NotifyChange(LeaseChange::HolderSeen, *this);
 }
 
 void CellLease::onHolderHeartbeat(std::uint64_t version, Span remaining) {
   auto now = Now();
-  // A holder that can't renew is alive, but its lease has to be taken over.
+  // A holder that cannot renew is alive, but its lease must be taken over.
   if (remaining > Span(0))
-    HeardAt = now;
-  if (version == HeardVersion)
-    HeardFreeAt = std::min(HeardFreeAt, now + remaining);
-  else if (version > HeardVersion)
-    HeardFreeAt = now + remaining;
-  HeardVersion = std::max(HeardVersion, version);
-  if (Mine || version < Version)
+    HeartbeatAt = now;
+  if (version == HeartbeatVersion)
+    HeartbeatFreeAt = std::min(HeartbeatFreeAt, now + remaining);
+  else if (version > HeartbeatVersion)
+    HeartbeatFreeAt = now + remaining;
+  HeartbeatVersion = std::max(HeartbeatVersion, version);
+  if (IsHolder || version < Version)
     return;
   if (version > Version)
-    InDoubt = true;
+    VersionUncertain = true;
   // Whatever the row's version, the holder's right ends by then or is renewed
-  // under a version that we have not heard of. Of several beats under one
-  // version the one that was on its way for the shortest time is right; a row
-  // that the table has forgotten has none.
-  bool heard = version > 0 && version == HeardVersion;
-  FreeAt = std::max(FreeAt, heard ? HeardFreeAt : now + remaining);
+  // under a version that this node has not received. Of several heartbeats
+  // under one version, the one with the shortest transit time is right; a row
+  // that the table has lost has no version.
+  bool received = version > 0 && version == HeartbeatVersion;
+  FreeAt = std::max(FreeAt, received ? HeartbeatFreeAt : now + remaining);
 }
 
 void CellLease::onPeerRow(const CellLeaseRow &row) {
-  if (Mine || Busy || isOwn(row) || (Row && Row->Fence >= row.Fence))
+  if (IsHolder || RequestPending || isOwn(row) ||
+      (Row && Row->Fence >= row.Fence))
     return;
   if (ReadNotes)
     ReadNotes(row.Notes);
   Row = row;
-  InDoubt = true;
-  // Whoever it is is asked first, and its row read only if it does not answer.
-  LookedAt = Now();
-  Changed(LeaseChange::HolderSeen, *this);
+  VersionUncertain = true;
+  // The reported holder is contacted first, and its row is read only if it does
+  // not answer.
+  LastReadAt = Now();
+  NotifyChange(LeaseChange::HolderSeen, *this);
 }
 
-void CellLease::take(Instant freeAt, Instant ordersFrom) {
-  CellLeaseRow row{Setup.Holder,  Setup.Incarnation,
-                   Setup.Address, nextFence(),
-                   false,         false};
+void CellLease::takeOver(Instant freeAt, Instant ordersFrom) {
+  CellLeaseRow row{Options.Holder,  Options.Incarnation,
+                   Options.Address, nextFence(),
+                   false,           false};
   commit(row, freeAt, ordersFrom);
 }
 
@@ -316,19 +329,19 @@
   if (WriteNotes)
     row.Notes = WriteNotes();
   FreeAt = freeAt;
-  Busy = true;
+  RequestPending = true;
   auto sentAt = Now();
-  Attempt = row;
-  AttemptSentAt = sentAt;
-  AttemptOrdersFrom = ordersFrom;
+  UnconfirmedRow = row;
+  UnconfirmedSentAt = sentAt;
+  UnconfirmedOrdersFrom = ordersFrom;
   TableTransaction transaction;
   transaction.AttemptId =
-      Setup.Incarnation + "/" + Cell + "/" + std::to_string(sentAt.count());
+      Options.Incarnation + "/" + Cell + "/" + std::to_string(sentAt.count());
   transaction.Writes.push_back({key(), Version, row.text()});
   Table.Commit(std::move(transaction), [self = shared_from_this(), row, sentAt,
                                         ordersFrom](const auto &result) {
-    self->Busy = false;
-    self->noteEra();
+    self->RequestPending = false;
+    self->updateEra();
     self->onCommitted(row, sentAt, ordersFrom, result);
   });
 }
@@ -338,58 +351,58 @@
     const tl::expected<std::uint64_t, TableError> &result) {
   if (!result) {
     if (result.error() != TableError::NotSent)
-      InDoubt = true;
+      VersionUncertain = true;
     else
-      Attempt.reset();
-    // Tried again without waiting for the next renewal, but not at once.
-    RenewedAt = std::min(RenewedAt, sentAt - Setup.RenewEvery / 2);
+      UnconfirmedRow.reset();
+    // Retried before the next renewal is due, but not at once.
+    RenewedAt = std::min(RenewedAt, sentAt - Options.RenewInterval / 2);
     return;
   }
-  Attempt.reset();
+  UnconfirmedRow.reset();
   Row = row;
   HighestFence = std::max(HighestFence, row.Fence);
   Version = *result;
   if (row.Released) {
-    Mine = false;
-    Changed(LeaseChange::Released, *this);
+    IsHolder = false;
+    NotifyChange(LeaseChange::Released, *this);
     return;
   }
-  bool taken = !std::exchange(Mine, true);
-  ValidUntil = sentAt + Setup.Validity;
+  bool taken = !std::exchange(IsHolder, true);
+  ValidUntil = sentAt + Options.Validity;
   RenewedAt = sentAt;
   if (taken) {
     OrdersFrom = ordersFrom;
-    Changed(LeaseChange::Taken, *this);
+    NotifyChange(LeaseChange::Taken, *this);
   }
-  watchValidity();
+  checkValidity();
 }
 
-void CellLease::lose() {
-  Attempt.reset();
-  if (!std::exchange(Mine, false))
+void CellLease::markLost() {
+  UnconfirmedRow.reset();
+  if (!std::exchange(IsHolder, false))
     return;
   WasOrdering = false;
-  Changed(LeaseChange::Lost, *this);
+  NotifyChange(LeaseChange::Lost, *this);
 }
 
 void CellLease::release() {
-  Leaving = true;
-  if (!Busy)
-    giveUp();
+  Releasing = true;
+  if (!RequestPending)
+    writeRelease();
 }
 
 void CellLease::handOver() {
-  if (!Mine || Busy || InDoubt || Leaving)
+  if (!IsHolder || RequestPending || VersionUncertain || Releasing)
     return;
-  AbstainsUntil = Now() + Setup.Abstain;
-  giveUp();
+  AbstainUntil = Now() + Options.AbstainTime;
+  writeRelease();
 }
 
-void CellLease::giveUp() {
-  if (!Mine || Row->Released)
+void CellLease::writeRelease() {
+  if (!IsHolder || Row->Released)
     return;
-  if (InDoubt && Now() - LookedAt >= Setup.LookEvery)
-    return look();
+  if (VersionUncertain && Now() - LastReadAt >= Options.ReadInterval)
+    return readRow();
   auto row = *Row;
   row.Released = true;
   commit(row, Now(), OrdersFrom);
--- a/Hemlockglade/Coordination/Orders/CellLease.h
+++ b/Hemlockglade/Coordination/Orders/CellLease.h
@@ -7,20 +7,20 @@
 
 namespace hemlockglade {
 
-/// The lease row of a cell: who may give orders to its replicas.
+/// The lease row of a cell: which node may send orders to its replicas.
 struct CellLeaseRow {
-  /// Host that holds the lease; a restarted process keeps it.
+  /// Host that holds the lease; a restarted process on that host keeps it.
   std::string Holder;
   /// The process on that host.
   std::string Incarnation;
   /// `ip:port` for peers.
   std::string Address;
   Epoch Fence = 0;
-  /// The holder has given the lease up and orders nothing any more.
+  /// The holder has released the lease and sends no more orders.
   bool Released = false;
-  /// The holder has waited out its predecessor and may order.
+  /// The previous holder's right to order has ended, so this holder may order.
   bool Ordering = false;
-  /// One word that the holder keeps with the row, for nodes that come later;
+  /// Text without spaces that the holder stores in the row for later holders;
   /// may be empty.
   std::string Notes;
 
@@ -41,36 +41,37 @@
 
 std::string_view leaseChangeName(LeaseChange change);
 
-/// One cell's lease as one node sees it: renews it if it holds it, takes it
-/// over if its holder has gone. All time is counted from before a call was
-/// sent, on the clock of this host, which runs while the host is suspended.
+/// One node's view of a cell's lease. Renews the lease while this node holds
+/// it, and takes it over after its holder has ended. All times are counted from
+/// before a call was sent, on this host's clock, which keeps running while the
+/// host is suspended.
 class CellLease : public std::enable_shared_from_this<CellLease> {
 public:
   struct Settings {
     std::string Holder;
     std::string Incarnation;
     std::string Address;
-    /// Time between renewals; five fit into the validity, so that lost ones
-    /// cost nothing.
-    Span RenewEvery = std::chrono::milliseconds(1200);
-    /// How long a renewal gives the right to order. A holder that the table
-    /// turns away, or a table that is away, mostly comes back before that;
-    /// other cells load for a cell whose holder has gone, so that a longer
-    /// takeover costs little.
+    /// Time between renewals. Five fit into the validity, so that lost ones do
+    /// no harm.
+    Span RenewInterval = std::chrono::milliseconds(1200);
+    /// How long a renewal gives the right to order. It outlasts most outages of
+    /// the table, and most times for which the table refuses a holder. Other
+    /// cells load for a cell without a holder, so that a longer takeover costs
+    /// little.
     Span Validity = std::chrono::milliseconds(6500);
-    /// Time that must lie between the last order of one holder and the first
-    /// of the next; the deployment's bound.
+    /// Minimum time between the last order of one holder and the first of the
+    /// next, as the deployment requires it.
     Span Handover = std::chrono::milliseconds(3000);
-    /// Longest time an order is on its way before its connection is reset.
-    Span OrderTravel = std::chrono::milliseconds(250);
-    /// A holder that was heard from this recently is not doubted.
-    Span Silence = std::chrono::milliseconds(900);
-    /// How long a node that has handed a lease over leaves it to others.
-    Span Abstain = std::chrono::seconds(5);
-    /// Time between looks at the row of a silent holder, and the longest when
-    /// the table does not answer either.
-    Span LookEvery = std::chrono::milliseconds(500);
-    Span LongestLook = std::chrono::milliseconds(1500);
+    /// Maximum time an order is in transit before its connection is reset.
+    Span MaxOrderTransit = std::chrono::milliseconds(250);
+    /// A holder whose last heartbeat is more recent than this is not suspected.
+    Span HolderGracePeriod = std::chrono::milliseconds(900);
+    /// How long a node that has handed a lease over does not take it again.
+    Span AbstainTime = std::chrono::seconds(5);
+    /// Time between reads of the row of a silent holder, and the maximum that
+    /// it backs off to while the table does not answer either.
+    Span ReadInterval = std::chrono::milliseconds(500);
+    Span MaxReadInterval = std::chrono::milliseconds(1500);
   };
   using Clock = std::function<Instant()>;
   using OnChange = std::function<void(LeaseChange, const CellLease &)>;
@@ -78,110 +79,113 @@
   CellLease(std::string cell, Settings settings, TableHooks table, Clock clock,
             OnChange onChange);
 
-  /// `write` gives the notes for a row that is written; `read` is called with
-  /// those of a row that was read.
+  /// `write` returns the notes for a row that is about to be written; `read` is
+  /// called with those of a row that was read.
   void setNotes(std::function<std::string()> write,
                 std::function<void(const std::string &notes)> read) {
     WriteNotes = std::move(write);
     ReadNotes = std::move(read);
   }
 
-  /// Does what is due; to be called about ten times a second. A lease that is
-  /// free is taken only after it has been free for `reluctance`, and the row is
-  /// looked at no more often than each `leastLook`.
-  void tick(Span reluctance, Span leastLook = Span(0));
-  /// The holder has told that its lease, at this version of the row, lasts for
-  /// `remaining`.
+  /// Does what is due; to be called about ten times a second. A free lease is
+  /// taken only after it has been free for `takeoverDelay`, and the row is read
+  /// at most once per `minReadInterval`.
+  void tick(Span takeoverDelay, Span minReadInterval = Span(0));
+  /// Called when the holder has reported that its lease, at this version of the
+  /// row, lasts for another `remaining`.
   void onHolderHeartbeat(std::uint64_t version, Span remaining);
-  /// Another node tells who holds the lease; taken while less is known, and
-  /// never as a ground to take the lease over.
+  /// Called when another node has reported the holder. The reported row is used
+  /// only while none with as high a fencing number is known, and is never a
+  /// reason to take the lease over.
   void onPeerRow(const CellLeaseRow &row);
-  /// Gives the lease up, if it is held.
+  /// Releases the lease, if it is held, and does not take it again.
   void release();
-  /// Lets a node that is nearer have the lease; takes part on, but leaves the
-  /// lease alone for a while.
+  /// Releases the lease for a nearer node. This node goes on tracking the
+  /// lease, but does not take it again for `Settings::AbstainTime`.
   void handOver();
 
   const std::string &cell() const { return Cell; }
-  bool held() const { return Mine; }
-  /// Whether orders may be given at this moment. To be asked right before each.
+  bool held() const { return IsHolder; }
+  /// Whether orders may be sent at this moment. Must be checked right before
+  /// each one.
   bool mayOrder() const;
   Epoch fence() const { return Row ? Row->Fence : 0; }
   /// The row as last read or written.
   const std::optional<CellLeaseRow> &row() const { return Row; }
   std::uint64_t version() const { return Version; }
-  /// How long the own lease still lasts.
+  /// How long this node's own lease still lasts; 0 if it does not hold it.
   Span remaining() const;
 
 private:
-  void noteEra();
+  void updateEra();
   Epoch nextFence() const;
-  bool isOfThisEra(const CellLeaseRow &row) const;
-  void onNoRow();
+  bool isFromCurrentEra(const CellLeaseRow &row) const;
+  void onRowMissing();
   void onOwnRow(const CellLeaseRow &row, std::uint64_t version);
   void renew();
-  void giveUp();
-  void look();
-  void onRow(const std::optional<TableRow> &row, Instant sentAt);
-  void take(Instant freeAt, Instant ordersFrom);
+  void writeRelease();
+  void readRow();
+  void onRowRead(const std::optional<TableRow> &row, Instant sentAt);
+  void takeOver(Instant freeAt, Instant ordersFrom);
   void commit(CellLeaseRow row, Instant freeAt, Instant ordersFrom);
   void onCommitted(const CellLeaseRow &row, Instant sentAt, Instant ordersFrom,
                    const tl::expected<std::uint64_t, TableError> &result);
-  void adopt(const CellLeaseRow &row, std::uint64_t version);
-  void lose();
-  void watchValidity();
+  void setRow(const CellLeaseRow &row, std::uint64_t version);
+  void markLost();
+  void checkValidity();
   bool isOwn(const CellLeaseRow &row) const;
   std::string key() const { return "lease/" + Cell; }
 
   const std::string Cell;
-  const Settings Setup;
+  const Settings Options;
   TableHooks Table;
   Clock Now;
   std::function<std::string()> WriteNotes;
   std::function<void(const std::string &notes)> ReadNotes;
-  OnChange Changed;
-
-  bool Busy = false;
-  bool Mine = false;
-  bool Leaving = false;
-  /// The version may be another than we think: read before writing.
-  bool InDoubt = true;
-  bool TellOrdering = false;
+  OnChange NotifyChange;
+
+  bool RequestPending = false;
+  bool IsHolder = false;
+  bool Releasing = false;
+  /// The row in the table may have another version than `Version`: it must be
+  /// read before it is written.
+  bool VersionUncertain = true;
+  bool MustWriteOrdering = false;
   std::optional<CellLeaseRow> Row;
   std::uint64_t Version = 0;
-  /// When this version of the row was first seen, and from when on its holder
-  /// surely has no right to order any more.
+  /// From when on the holder of this version of the row has surely lost the
+  /// right to order.
   Instant FreeAt{};
-  Instant HeardAt{-3'600'000'000};
-  /// Highest version that a holder told of, and when its right under that one
-  /// ends at the latest.
-  std::uint64_t HeardVersion = 0;
-  Instant HeardFreeAt{};
-  Instant LookedAt{-3'600'000'000};
-  /// Time between looks now.
-  Span LookPause{0};
-  /// The table's era, and when no lease that was granted before it began lasts
-  /// any more: the table may have forgotten who held it.
+  Instant HeartbeatAt{-3'600'000'000};
+  /// Highest version in a holder's heartbeats, and when the holder's right
+  /// under that version ends at the latest.
+  std::uint64_t HeartbeatVersion = 0;
+  Instant HeartbeatFreeAt{};
+  Instant LastReadAt{-3'600'000'000};
+  /// Current time between reads of a silent holder's row.
+  Span CurrentReadInterval{0};
+  /// The table's era, and when the last lease that was granted before it began
+  /// has ended: the table may have lost the row that says who held it.
   std::uint64_t Era = 0;
-  Instant OldLeasesEnd{};
+  Instant PriorLeasesEnd{};
   /// The table has answered, and its era has risen since.
-  bool Answered = false;
-  bool SteppedBack = false;
-  /// The row is gone from the table, though it existed.
-  bool Forgotten = false;
+  bool TableAnswered = false;
+  bool EraRose = false;
+  /// The row is missing from the table, though it existed.
+  bool RowMissing = false;
   Epoch HighestFence = 0;
   /// When the row was first found not to exist.
-  std::optional<Instant> FirstLookAt;
-  Span Reluctance{0};
-  Instant AbstainsUntil{};
+  std::optional<Instant> FirstMissingAt;
+  Span TakeoverDelay{0};
+  Instant AbstainUntil{};
   Instant RenewedAt{};
   Instant ValidUntil{};
   Instant OrdersFrom{};
   bool WasOrdering = false;
-  /// Own attempt whose end is not known.
-  std::optional<CellLeaseRow> Attempt;
-  Instant AttemptSentAt{};
-  Instant AttemptOrdersFrom{};
+  /// Own write whose outcome is not known.
+  std::optional<CellLeaseRow> UnconfirmedRow;
+  Instant UnconfirmedSentAt{};
+  Instant UnconfirmedOrdersFrom{};
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Orders/CellPlacement.cpp
+++ b/Hemlockglade/Coordination/Orders/CellPlacement.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// What is left of a weight that halves in each half life.
-double faded(double weight, Span age, Span halfLife) {
+/// Returns what is left of a weight that halves in each half-life.
+double decayed(double weight, Span age, Span halfLife) {
   return weight * std::exp2(-inSeconds(age) / inSeconds(halfLife));
 }
 
-/// Something is due then, unless it is due before.
+/// Sets a due time to `at`, unless it is due earlier.
 void bringForward(std::optional<Instant> &due, Instant at) {
   due = std::min(due.value_or(at), at);
 }
 
-/// Requests a second that keep a fading count at a weight.
+/// Returns the rate of requests that keeps a decaying count at a weight.
 double rateOfWeight(double weight, Span halfLife) {
   constexpr double Ln2 = 0.6931471805599453;
   return weight * Ln2 / inSeconds(halfLife);
@@ -28,34 +28,34 @@
 void CellPlacement::setReplicas(const std::vector<ReplicaPtr> &replicas,
                                 const std::shared_ptr<const RoutePlan> &plan,
                                 Instant now) {
-  std::map<std::string, Book> kept;
+  std::map<std::string, ReplicaState> kept;
   double rate = 0;
   for (const auto &record : replicas) {
     const auto *service = plan ? plan->service(record->Service) : nullptr;
     if (!service || !service->Engine)
       continue;
-    auto it = Books.find(record->Incarnation.text());
-    bool isNew = it == Books.end();
-    auto &book = kept[record->Incarnation.text()];
+    auto it = Replicas.find(record->Incarnation.text());
+    bool isNew = it == Replicas.end();
+    auto &state = kept[record->Incarnation.text()];
     if (!isNew)
-      book = std::move(it->second);
-    book.Record = record;
-    book.Plan = plan;
-    book.Engine = &*service->Engine;
-    rate = std::max(rate, book.Engine->LoadsPerSecond);
+      state = std::move(it->second);
+    state.Record = record;
+    state.Plan = plan;
+    state.Engine = &*service->Engine;
+    rate = std::max(rate, state.Engine->LoadsPerSecond);
     if (isNew) {
-      // A heartbeat does not tell how many orders the engine has accepted.
-      adopt(book, record->Held, {}, 0, now);
-      book.ReportDue = now;
+      // A heartbeat does not contain how many orders the engine has accepted.
+      applyHoldings(state, record->Held, {}, 0, now);
+      state.ReportDue = now;
     }
   }
-  if (kept.size() != Books.size())
-    changed();
-  Books = std::move(kept);
-  Pace.setRate(rate);
+  if (kept.size() != Replicas.size())
+    markChanged();
+  Replicas = std::move(kept);
+  AdapterLoads.setRate(rate);
 }
 
-Span CellPlacement::Book::modelLoadTime(const ModelSpec &model) const {
+Span CellPlacement::ReplicaState::modelLoadTime(const ModelSpec &model) const {
   if (Local.InMemory.contains(model.Name))
     return model.LoadTimeFromMemory;
   if (Local.OnDisk.contains(model.Name))
@@ -64,61 +64,63 @@
 }
 
 void CellPlacement::forget() {
-  for (auto &[id, book] : Books) {
-    book.OrderOpen = false;
-    book.ReportOpen = false;
-    book.ReportDue = Instant{};
+  for (auto &[id, state] : Replicas) {
+    state.OrderPending = false;
+    state.ReportPending = false;
+    state.ReportDue = Instant{};
   }
 }
 
-void CellPlacement::adopt(Book &book, const HeldWeights &held,
-                          const HeldWeights &pending, std::uint64_t count,
-                          Instant now) {
+void CellPlacement::applyHoldings(ReplicaState &state, const HeldWeights &held,
+                                  const HeldWeights &pending,
+                                  std::uint64_t count, Instant now) {
   Residency next;
   for (const auto &[weights, version] : held) {
-    auto it = book.Held.find(weights);
-    bool same = it != book.Held.end() && it->second.Version == version;
+    auto it = state.Held.find(weights);
+    bool same = it != state.Held.end() && it->second.Version == version;
     next[weights] = same ? it->second : ResidentWeights{version, now, false};
     next[weights].ReadyAt = std::min(next[weights].ReadyAt, now);
   }
   for (const auto &[weights, version] : pending) {
-    auto it = book.Held.find(weights);
-    if (it != book.Held.end() && it->second.ReadyAt > now)
+    auto it = state.Held.find(weights);
+    if (it != state.Held.end() && it->second.ReadyAt > now)
       next[weights] = it->second;
     else
-      next[weights] = {version, now + Setup.AdapterLoad, false};
+      next[weights] = {version, now + Options.AdapterLoadTime, false};
   }
-  book.Count = count;
-  if (next != book.Held)
-    changed();
-  book.Held = std::move(next);
+  state.OrderCount = count;
+  if (next != state.Held)
+    markChanged();
+  state.Held = std::move(next);
 }
 
 void CellPlacement::setVersion(const WeightsRef &weights,
                                std::uint64_t version) {
   auto &known = Versions[weights];
   known = std::max(known, version);
-  CopiesKnown = false;
+  CopiesValid = false;
 }
 
-bool CellPlacement::current(const WeightsRef &weights,
-                            std::uint64_t version) const {
+bool CellPlacement::isCurrent(const WeightsRef &weights,
+                              std::uint64_t version) const {
   auto it = Versions.find(weights);
   // Base models are replaced in place, one after the other; an older version
-  // goes on serving until then.
+  // serves until then.
   return weights.Adapter.empty() || it == Versions.end() ||
          version >= it->second;
 }
 
 double CellPlacement::rate(const Demand &demand, Instant now) const {
-  auto age = now - demand.At;
-  double slow = rateOfWeight(faded(demand.Weight, age, Setup.DemandHalfLife),
-                             Setup.DemandHalfLife);
-  if (Setup.FastHalfLife <= Span(0))
+  auto age = now - demand.UpdatedAt;
+  double slow =
+      rateOfWeight(decayed(demand.Weight, age, Options.DemandHalfLife),
+                   Options.DemandHalfLife);
+  if (Options.FastHalfLife <= Span(0))
     return slow;
-  double fast = faded(demand.FastWeight, age, Setup.FastHalfLife);
-  bool sure = fast >= Setup.FastLeast;
-  return sure ? std::max(slow, rateOfWeight(fast, Setup.FastHalfLife)) : slow;
+  double fast = decayed(demand.FastWeight, age, Options.FastHalfLife);
+  bool isReliable = fast >= Options.FastLeast;
+  return isReliable ? std::max(slow, rateOfWeight(fast, Options.FastHalfLife))
+                    : slow;
 }
 
 double CellPlacement::rateOf(const DemandKey &key, Instant now) const {
@@ -130,28 +132,29 @@
                              const WeightsRef &weights, double requests,
                              Instant now) {
   auto &demand = Demands[{service, weights}];
-  auto age = now - demand.At;
-  demand.Weight = faded(demand.Weight, age, Setup.DemandHalfLife) + requests;
-  if (Setup.FastHalfLife > Span(0))
+  auto age = now - demand.UpdatedAt;
+  demand.Weight =
+      decayed(demand.Weight, age, Options.DemandHalfLife) + requests;
+  if (Options.FastHalfLife > Span(0))
     demand.FastWeight =
-        faded(demand.FastWeight, age, Setup.FastHalfLife) + requests;
-  demand.At = now;
-  demand.LastAsked = now;
+        decayed(demand.FastWeight, age, Options.FastHalfLife) + requests;
+  demand.UpdatedAt = now;
+  demand.LastRequestAt = now;
 }
 
 void CellPlacement::onWaiting(const std::string &service,
                               const WeightsRef &weights, Instant now) {
   auto &demand = Demands[{service, weights}];
-  if (!demand.WantedAt)
-    demand.WantedAt = now;
-  demand.RemindedAt = now;
-  Wanted.insert({service, weights});
-  demand.LastAsked = now;
+  if (!demand.WaitingSince)
+    demand.WaitingSince = now;
+  demand.LastWaitReportAt = now;
+  Waiting.insert({service, weights});
+  demand.LastRequestAt = now;
 }
 
 void CellPlacement::onCongested(const std::string &service,
                                 const WeightsRef &weights, Instant now) {
-  Demands[{service, weights}].PressedAt = now;
+  Demands[{service, weights}].CongestedAt = now;
 }
 
 void CellPlacement::onUse(const std::string &replica, const WeightsRef &weights,
@@ -164,187 +167,194 @@
 
 void CellPlacement::setRunning(const std::string &replica,
                                std::uint32_t running) {
-  auto it = Books.find(replica);
-  if (it != Books.end())
+  auto it = Replicas.find(replica);
+  if (it != Replicas.end())
     it->second.Running = running;
 }
 
-void CellPlacement::noteLate(const ResidentWeights &held, Instant now) {
-  // Only a load that was due just now tells of the weight store's speed; what
-  // was due long ago has been dropped or lost.
-  constexpr auto JustDue = std::chrono::milliseconds(150);
-  if (now - held.ReadyAt < JustDue)
-    Pace.onLate(now);
+void CellPlacement::recordLate(const ResidentWeights &held, Instant now) {
+  // Only a load that was due recently shows the weight store's speed; weights
+  // that were due long ago have been dropped or lost.
+  constexpr auto MaxLateness = std::chrono::milliseconds(150);
+  if (now - held.ReadyAt < MaxLateness)
+    AdapterLoads.onLate(now);
 }
 
 void CellPlacement::onRefusedEarly(const std::string &replica,
                                    const WeightsRef &weights, Instant now) {
-  constexpr auto Again = std::chrono::milliseconds(60);
-  auto it = Books.find(replica);
-  if (it == Books.end())
+  constexpr auto RetryDelay = std::chrono::milliseconds(60);
+  auto it = Replicas.find(replica);
+  if (it == Replicas.end())
     return;
   auto held = it->second.Held.find(weights);
   if (held == it->second.Held.end())
     return;
-  noteLate(held->second, now);
-  held->second.ReadyAt = std::max(held->second.ReadyAt, now + Again);
-  changed();
+  recordLate(held->second, now);
+  held->second.ReadyAt = std::max(held->second.ReadyAt, now + RetryDelay);
+  markChanged();
 }
 
 void CellPlacement::onMissing(const std::string &replica,
                               const WeightsRef &weights, Instant now) {
-  auto it = Books.find(replica);
-  if (it == Books.end())
+  auto it = Replicas.find(replica);
+  if (it == Replicas.end())
     return;
   auto held = it->second.Held.find(weights);
   if (held == it->second.Held.end())
     return;
-  noteLate(held->second, now);
+  recordLate(held->second, now);
   it->second.ReportDue = now;
 }
 
 const Residency &CellPlacement::residency(const std::string &replica) const {
   static const Residency None;
-  auto it = Books.find(replica);
-  return it == Books.end() ? None : it->second.Held;
+  auto it = Replicas.find(replica);
+  return it == Replicas.end() ? None : it->second.Held;
 }
 
 std::vector<std::string> CellPlacement::replicas() const {
   std::vector<std::string> out;
-  for (const auto &[id, book] : Books)
+  for (const auto &[id, state] : Replicas)
     out.push_back(id);
   return out;
 }
 
-std::size_t CellPlacement::adapters(const Book &book) const {
+std::size_t CellPlacement::adapterCount(const ReplicaState &state) const {
   std::size_t n = 0;
-  for (const auto &[weights, held] : book.Held)
+  for (const auto &[weights, held] : state.Held)
     n += weights.Adapter.empty() ? 0 : 1;
   return n;
 }
 
-std::size_t CellPlacement::loading(const Book &book, Instant now) const {
-  std::size_t n = book.Making && !book.Held.contains(*book.Making) ? 1 : 0;
-  for (const auto &[weights, held] : book.Held)
+std::size_t CellPlacement::loadingCount(const ReplicaState &state,
+                                        Instant now) const {
+  std::size_t n =
+      state.PendingAdapter && !state.Held.contains(*state.PendingAdapter) ? 1
+                                                                          : 0;
+  for (const auto &[weights, held] : state.Held)
     n += !weights.Adapter.empty() && held.ReadyAt > now ? 1 : 0;
   return n;
 }
 
-std::size_t CellPlacement::loading(Instant now) const {
+std::size_t CellPlacement::loadingCount(Instant now) const {
   std::size_t n = 0;
-  for (const auto &[id, book] : Books)
-    n += loading(book, now);
+  for (const auto &[id, state] : Replicas)
+    n += loadingCount(state, now);
   return n;
 }
 
-bool CellPlacement::mayLoad(Instant now) {
-  if (loading(now) + LoadingElsewhere < Pace.limit())
+bool CellPlacement::canLoad(Instant now) {
+  if (loadingCount(now) + LoadingElsewhere < AdapterLoads.limit())
     return true;
-  Pace.onLoadDelayed(now);
+  AdapterLoads.onLoadDelayed(now);
   return false;
 }
 
-bool CellPlacement::orderable(const Book &book, Instant now) const {
-  return !book.Replaced && !book.OrderOpen && !book.ReportOpen &&
-         !book.ReportDue && book.ModelBusyUntil <= now &&
-         book.RestsUntil <= now;
+bool CellPlacement::canOrder(const ReplicaState &state, Instant now) const {
+  return !state.Replaced && !state.OrderPending && !state.ReportPending &&
+         !state.ReportDue && state.ModelLoadUntil <= now &&
+         state.BackoffUntil <= now;
 }
 
 void CellPlacement::countCopies() {
-  CopiesKnown = true;
+  CopiesValid = true;
   Copies.clear();
-  for (const auto &[id, book] : Books) {
-    if (book.Replaced)
+  for (const auto &[id, state] : Replicas) {
+    if (state.Replaced)
       continue;
-    for (const auto &[weights, held] : book.Held)
-      if (!held.Leaving && current(weights, held.Version))
-        ++Copies[{book.Record->Service, weights}];
-    if (book.Making && !book.Held.contains(*book.Making))
-      ++Copies[{book.Record->Service, *book.Making}];
+    for (const auto &[weights, held] : state.Held)
+      if (!held.Leaving && isCurrent(weights, held.Version))
+        ++Copies[{state.Record->Service, weights}];
+    if (state.PendingAdapter && !state.Held.contains(*state.PendingAdapter))
+      ++Copies[{state.Record->Service, *state.PendingAdapter}];
   }
 }
 
-std::size_t CellPlacement::copies(const DemandKey &key) {
-  if (!CopiesKnown)
+std::size_t CellPlacement::copyCount(const DemandKey &key) {
+  if (!CopiesValid)
     countCopies();
   auto it = Copies.find(key);
   return it == Copies.end() ? 0 : it->second;
 }
 
-Span CellPlacement::loadTime(const Book &book, const WeightsRef &weights,
-                             Instant now) const {
-  bool quick = std::find(book.Quick.begin(), book.Quick.end(), weights) !=
-               book.Quick.end();
-  // Loads beyond those at full speed share it.
-  double share =
-      std::max(1.0, static_cast<double>(loading(now) + LoadingElsewhere + 1) /
-                        static_cast<double>(Pace.limit()));
-  double us = static_cast<double>(Setup.AdapterLoad.count());
-  us *= quick ? Setup.QuickShare : share;
+Span CellPlacement::loadTime(const ReplicaState &state,
+                             const WeightsRef &weights, Instant now) const {
+  bool isReload =
+      std::find(state.RecentlyDropped.begin(), state.RecentlyDropped.end(),
+                weights) != state.RecentlyDropped.end();
+  // Loads beyond the number that the store serves at full speed share that
+  // speed.
+  double share = std::max(
+      1.0, static_cast<double>(loadingCount(now) + LoadingElsewhere + 1) /
+               static_cast<double>(AdapterLoads.limit()));
+  double us = static_cast<double>(Options.AdapterLoadTime.count());
+  us *= isReload ? Options.ReloadTimeShare : share;
   constexpr double SlackUs = 12'000;
   return Span(static_cast<std::int64_t>(us + SlackUs));
 }
 
-void CellPlacement::remember(Book &book, const WeightsRef &weights) {
-  book.Quick.remove(weights);
-  book.Quick.push_front(weights);
-  if (book.Quick.size() > Setup.QuickMemory)
-    book.Quick.pop_back();
+void CellPlacement::rememberDropped(ReplicaState &state,
+                                    const WeightsRef &weights) {
+  state.RecentlyDropped.remove(weights);
+  state.RecentlyDropped.push_front(weights);
+  if (state.RecentlyDropped.size() > Options.QuickMemory)
+    state.RecentlyDropped.pop_back();
 }
 
-void CellPlacement::rest(Book &book, Instant now) {
-  constexpr std::uint32_t MostDoublings = 10;
-  auto doublings = std::min(book.Unanswered++, MostDoublings);
-  book.RestsUntil =
-      now + std::min(Setup.LongestRest, Setup.FirstRest * (1 << doublings));
+void CellPlacement::backOff(ReplicaState &state, Instant now) {
+  constexpr std::uint32_t MaxDoublings = 10;
+  auto doublings = std::min(state.UnansweredCount++, MaxDoublings);
+  state.BackoffUntil =
+      now +
+      std::min(Options.MaxBackoff, Options.InitialBackoff * (1 << doublings));
 }
 
 void CellPlacement::onOrderAnswer(const std::string &replica,
                                   const EngineOrder &order, OrderAnswer answer,
                                   Instant now) {
-  auto it = Books.find(replica);
-  if (it == Books.end())
+  auto it = Replicas.find(replica);
+  if (it == Replicas.end())
     return;
-  auto &book = it->second;
-  book.OrderOpen = false;
-  changed();
+  auto &state = it->second;
+  state.OrderPending = false;
+  markChanged();
   bool isModel = order.Weights.Adapter.empty();
   bool load = order.Kind == OrderKind::Load;
   if (answer == OrderAnswer::Unknown)
-    rest(book, now);
+    backOff(state, now);
   else
-    book.Unanswered = 0;
+    state.UnansweredCount = 0;
   bool madeRoom = !load && answer == OrderAnswer::Holds;
   if (!madeRoom)
-    book.Making.reset();
-  CopiesKnown = false;
+    state.PendingAdapter.reset();
+  CopiesValid = false;
   switch (answer) {
   case OrderAnswer::Accepted:
   case OrderAnswer::Holds:
     if (load) {
       bool holds = answer == OrderAnswer::Holds;
-      Span takes = holds ? Span(0) : loadTime(book, order.Weights, now);
+      Span loadDuration = holds ? Span(0) : loadTime(state, order.Weights, now);
       if (isModel && !holds) {
-        // The time that the plan names holds for a load from the store alone;
-        // the engine's own report tells when it is over.
-        const auto *model = book.Engine->model(order.Weights.Model);
-        takes = model ? book.modelLoadTime(*model) : Span(0);
-        book.FromStore = !book.hasCopy(order.Weights.Model);
-        book.ModelBusyUntil = now + takes;
-        bringForward(book.ReportDue,
-                     now + (book.FromStore ? takes / 4 : takes));
+        // The load time in the plan is valid for a single load from the store;
+        // the engine's own report shows when the load has ended.
+        const auto *model = state.Engine->model(order.Weights.Model);
+        loadDuration = model ? state.modelLoadTime(*model) : Span(0);
+        state.FromStore = !state.hasLocalCopy(order.Weights.Model);
+        state.ModelLoadUntil = now + loadDuration;
+        bringForward(state.ReportDue,
+                     now + (state.FromStore ? loadDuration / 4 : loadDuration));
       }
-      book.Held[order.Weights] = {order.Version, now + takes, false};
-      book.Count += holds ? 0 : 1;
+      state.Held[order.Weights] = {order.Version, now + loadDuration, false};
+      state.OrderCount += holds ? 0 : 1;
     } else {
-      remember(book, order.Weights);
+      rememberDropped(state, order.Weights);
       if (answer == OrderAnswer::Holds) {
-        book.Held.erase(order.Weights);
-        book.Count += 1;
+        state.Held.erase(order.Weights);
+        state.OrderCount += 1;
       } else {
-        // It goes once its requests are over.
-        book.Count += 1;
-        bringForward(book.CheckDue, now + Setup.DoubtDelay);
+        // The engine drops it once its requests have ended.
+        state.OrderCount += 1;
+        bringForward(state.EvictionCheckDue, now + Options.RecheckDelay);
       }
     }
     return;
@@ -352,69 +362,71 @@
   case OrderAnswer::Rejected:
   case OrderAnswer::Fenced:
   case OrderAnswer::Unknown:
-    if (!load && book.Held.contains(order.Weights))
-      book.Held[order.Weights].Leaving = false;
+    if (!load && state.Held.contains(order.Weights))
+      state.Held[order.Weights].Leaving = false;
     // An order without an answer may be carried out at any time, but not after
     // another one that expects the same count: the next order settles which of
-    // the two holds, so that nothing has to wait.
+    // the two is carried out, so nothing has to wait.
     if (answer != OrderAnswer::Unknown)
-      book.ReportDue = now;
+      state.ReportDue = now;
     return;
   case OrderAnswer::OtherIncarnation:
-    book.Replaced = true;
+    state.Replaced = true;
     return;
   }
 }
 
-bool CellPlacement::reportsThisStart(Book &book, const HoldingsReport &report,
+bool CellPlacement::isOwnIncarnation(ReplicaState &state,
+                                     const HoldingsReport &report,
                                      Instant now) const {
-  auto ours = book.Record->Incarnation.startedAtMs();
-  auto its = report.StartedAtMs;
-  if (!ours || !its || ours == its)
+  auto expected = state.Record->Incarnation.startedAtMs();
+  auto reported = report.StartedAtMs;
+  if (!expected || !reported || expected == reported)
     return true;
-  // A later start is in the registry within a heartbeat; until then the books
-  // of this one order nothing. An earlier one's report was on its way.
-  if (its > ours)
-    book.Replaced = true;
+  // A later incarnation is in the registry within a heartbeat; until then
+  // nothing is ordered for this one. A report of an earlier one was still in
+  // transit.
+  if (reported > expected)
+    state.Replaced = true;
   else
-    book.ReportDue = now + Setup.DoubtDelay;
+    state.ReportDue = now + Options.RecheckDelay;
   return false;
 }
 
 void CellPlacement::onReport(const std::string &replica,
                              const std::optional<HoldingsReport> &report,
                              Instant now) {
-  auto it = Books.find(replica);
-  if (it == Books.end())
+  auto it = Replicas.find(replica);
+  if (it == Replicas.end())
     return;
-  auto &book = it->second;
-  book.ReportOpen = false;
+  auto &state = it->second;
+  state.ReportPending = false;
   if (!report) {
-    rest(book, now);
-    book.ReportDue = book.RestsUntil;
-    // That look settles what leaves as well.
-    book.CheckDue.reset();
+    backOff(state, now);
+    state.ReportDue = state.BackoffUntil;
+    // That report also shows which evicting adapters have been dropped.
+    state.EvictionCheckDue.reset();
     return;
   }
-  book.Unanswered = 0;
-  if (!reportsThisStart(book, *report, now))
+  state.UnansweredCount = 0;
+  if (!isOwnIncarnation(state, *report, now))
     return;
-  book.Local = report->Local;
-  book.ReportDue.reset();
-  book.CheckDue.reset();
-  Residency before = book.Held;
-  adopt(book, report->Held, report->Pending, report->OrderCount, now);
+  state.Local = report->Local;
+  state.ReportDue.reset();
+  state.EvictionCheckDue.reset();
+  Residency before = state.Held;
+  applyHoldings(state, report->Held, report->Pending, report->OrderCount, now);
   if (report->Busy) {
-    book.ReportDue = now + Setup.DoubtDelay;
+    state.ReportDue = now + Options.RecheckDelay;
     return;
   }
-  book.ModelBusyUntil = std::min(book.ModelBusyUntil, now);
+  state.ModelLoadUntil = std::min(state.ModelLoadUntil, now);
   for (const auto &[weights, held] : before) {
-    bool stays = held.Leaving && book.Held.contains(weights);
-    if (!stays)
+    bool stillEvicting = held.Leaving && state.Held.contains(weights);
+    if (!stillEvicting)
       continue;
-    book.Held[weights].Leaving = true;
-    book.CheckDue = now + Setup.DoubtDelay;
+    state.Held[weights].Leaving = true;
+    state.EvictionCheckDue = now + Options.RecheckDelay;
   }
 }
 
--- a/Hemlockglade/Coordination/Orders/CellPlacement.h
+++ b/Hemlockglade/Coordination/Orders/CellPlacement.h
@@ -12,12 +12,12 @@
 
 namespace hemlockglade {
 
-/// What a replica holds, as its cell's owner knows it.
+/// Weights that a replica holds, as its cell's owner knows them.
 struct ResidentWeights {
   std::uint64_t Version = 0;
   /// When it can serve; later than now while it is being loaded.
   Instant ReadyAt{};
-  /// It is being dropped: nothing new may be sent for it.
+  /// It is being evicted: no new request may be sent for it.
   bool Leaving = false;
 
   bool operator==(const ResidentWeights &) const = default;
@@ -25,7 +25,7 @@
 
 using Residency = std::map<WeightsRef, ResidentWeights>;
 
-/// What the desk wants done now.
+/// An action that the caller of `CellPlacement::plan` must carry out.
 struct PlacementAction {
   enum class Kind : std::uint8_t { Order, Report };
 
@@ -37,134 +37,143 @@
 };
 
 /// Decides which weights the replicas of one cell hold: loads what requests
-/// wait for, copies what is wanted much, drops what is wanted least. It has no
-/// clock and no sockets: time comes with the calls, orders go out as actions.
+/// wait for, copies what is in high demand, and drops what is in least demand.
+/// Deterministic: time is passed in, orders are returned as actions, and it
+/// does no I/O.
 class CellPlacement {
 public:
   struct Settings {
-    /// Time that an adapter takes to load when it comes from the weight store.
-    /// Learnt upwards and downwards from how early requests came; this is the
-    /// first guess.
-    Span AdapterLoad = std::chrono::milliseconds(260);
-    /// Loads of adapters on their way over the whole deployment.
+    /// Time that an adapter takes to load from the weight store. Loads above
+    /// the limit of concurrent ones are taken to last longer in proportion.
+    Span AdapterLoadTime = std::chrono::milliseconds(260);
+    /// Limit of adapter loads in progress over the whole deployment.
     LoadConcurrency::Settings Concurrency;
-    /// Loads on their way to one replica.
+    /// Maximum number of adapter loads in progress on one replica.
     std::uint32_t LoadsPerReplica = 4;
-    /// Adapters that a replica dropped lately come back this much faster.
-    double QuickShare = 0.1;
-    /// What coming back fast is worth where the place of a load is chosen, as a
-    /// share of an engine's slots in use.
+    /// Load time of an adapter that the replica dropped recently, as a share of
+    /// `AdapterLoadTime`.
+    double ReloadTimeShare = 0.1;
+    /// Preference, where the replica for a load is chosen, for one that dropped
+    /// the adapter recently, as a share of an engine's slots in use.
     double QuickGain = 0.5;
-    /// What the same place as last time is worth there at most, so that an
-    /// adapter goes to the same engine again where nothing speaks against it.
+    /// Maximum preference for the replica that a hash assigns to the adapter,
+    /// in the same unit, so that an adapter goes to the same engine again where
+    /// nothing speaks against it.
     double SamePlaceGain = 0.3;
-    /// Adapters dropped lately that are taken to come back fast.
+    /// Number of recently dropped adapters per replica that are assumed to load
+    /// faster.
     std::size_t QuickMemory = 100;
-    /// Half life of the demand estimate.
+    /// Half-life of the demand estimate.
     Span DemandHalfLife = std::chrono::seconds(8);
-    /// Half life of a second estimate, which is taken where it is higher: what
-    /// becomes wanted within seconds gets its copies before the slow estimate
-    /// has seen it. Nothing is taken from it below the number of requests that
-    /// makes it sure. 0 switches it off.
+    /// Half-life of a second demand estimate, which is used where it is higher:
+    /// an adapter whose demand rises within seconds gets its copies before the
+    /// slow estimate shows it. Below `FastLeast` requests the fast estimate is
+    /// not reliable and is not used. 0 switches it off.
     Span FastHalfLife = std::chrono::milliseconds(1000);
     double FastLeast = 3;
-    /// Requests a second from which on an adapter that another cell holds is
-    /// worth a copy here: a load costs as much as the bytes of several requests
-    /// between failure domains.
+    /// Requests a second from which on an adapter that another cell holds gets
+    /// a copy in this cell: a load costs as much as the bytes of several
+    /// requests between failure domains.
     double RateForCopy = 0.6;
-    /// Requests a second that one copy serves before another is worth a place.
+    /// Requests a second that one copy serves before another copy is worth a
+    /// slot.
     double RatePerCopy = 3;
-    /// A load for demand alone, with nobody waiting, has to gain this much over
-    /// what it drops.
+    /// Factor by which a load for demand alone, with no request waiting, must
+    /// exceed the value of what it drops.
     double GainOverVictim = 1.5;
-    /// An adapter that was asked for this recently may be about to be used.
+    /// An adapter that was requested this recently may be about to be used, and
+    /// is not dropped.
     Span RecentUse = std::chrono::milliseconds(700);
-    /// Requests that wait for engines at their limit ask for a copy for this
-    /// long.
+    /// How long a report of congested requests counts towards a further copy.
     Span PressedFor = std::chrono::milliseconds(700);
-    /// Requests a second that one copy has to serve at least while they do, so
-    /// that what presses for a moment doesn't drop everything else.
+    /// Minimum requests a second for each copy while requests are congested, so
+    /// that a short congestion does not drop all other adapters.
     double PressedRatePerCopy = 1.5;
-    /// A node reminds of weights that it waits for each 200 ms; what nobody has
-    /// reminded of for this long is not waited for any more and not loaded.
+    /// Timeout of a report of waiting requests. A node repeats the report every
+    /// 200 ms; weights without a report for this long are no longer waited for
+    /// and are not loaded.
     Span WantLasts = std::chrono::milliseconds(700);
-    /// Load order of what requests wait for: a second of waiting counts as this
-    /// many requests a second.
+    /// Order of loads that requests wait for: a second of waiting counts as
+    /// this many requests a second.
     double WaitWeight = 0.2;
-    /// Cells of the deployment, which share the rate of base model loads.
+    /// Number of cells of the deployment, which share the rate of base model
+    /// loads.
     std::uint32_t CellCount = 1;
-    /// Place of this cell among them, from 0. When the weight store becomes
-    /// free cells load base models from it in this order, so that each hears of
-    /// the loads of those before it.
+    /// Index of this cell among them, from 0. When the weight store becomes
+    /// free, cells load base models from it in this order, so that each has
+    /// received the loads of those before it.
     std::uint32_t CellIndex = 0;
-    /// Time within which owners hear of loads in other cells.
-    Span HeardWithin = std::chrono::milliseconds(400);
-    /// Time for which a new owner loads no base model from the store. Loads are
-    /// counted over 5 s, and the owner before ordered nothing in the 3.25 s of
-    /// the handover.
-    Span ModelPauseOfNewOwner = std::chrono::milliseconds(2000);
-    /// Time between looks at all demand, for copies that nobody waits for.
-    Span ScanEvery = std::chrono::milliseconds(250);
-    /// Time that an engine is left alone after an order without an answer,
-    /// twice as long after each further one, up to the longest. One that is
-    /// down refuses at once; others take its loads meanwhile.
-    Span FirstRest = std::chrono::milliseconds(40);
-    Span LongestRest = std::chrono::milliseconds(1280);
-    /// Time until an engine is asked again about what it was still at.
-    Span DoubtDelay = std::chrono::milliseconds(300);
-    /// Base model loads under way in the whole deployment for each load a
-    /// second that the weight store allows. Loads share its speed, so that one
-    /// after the other each replica is ready sooner on average.
+    /// Time within which owners receive reports of loads in other cells.
+    Span LoadReportDelay = std::chrono::milliseconds(400);
+    /// Delay before a new owner loads a base model from the store. Loads are
+    /// counted over 5 s, and the previous owner ordered nothing in the 3.25 s
+    /// of the handover.
+    Span NewOwnerModelDelay = std::chrono::milliseconds(2000);
+    /// Time between scans of all demand for copies that no request waits for.
+    Span DemandScanInterval = std::chrono::milliseconds(250);
+    /// Backoff of an engine after an order without an answer. It doubles after
+    /// each further one, up to the maximum. An engine that is down refuses at
+    /// once; other engines take its loads meanwhile.
+    Span InitialBackoff = std::chrono::milliseconds(40);
+    Span MaxBackoff = std::chrono::milliseconds(1280);
+    /// Delay before an engine's report is requested again while something on it
+    /// is not finished.
+    Span RecheckDelay = std::chrono::milliseconds(300);
+    /// Base model loads in progress in the whole deployment for each load a
+    /// second that the weight store allows. Concurrent loads share the store's
+    /// speed: one after the other, replicas are ready sooner on average.
     double ModelLoadsPerRate = 0.25;
   };
 
   explicit CellPlacement(Settings settings)
-      : Setup(settings), Pace(Setup.Concurrency) {}
+      : Options(settings), AdapterLoads(Options.Concurrency) {}
 
-  /// Sets the replicas of the cell that run engines, and what their services
-  /// say of them.
+  /// Sets the replicas of the cell that run engines, and the plan, which has
+  /// the engine specifications of their services.
   void setReplicas(const std::vector<ReplicaPtr> &replicas,
                    const std::shared_ptr<const RoutePlan> &plan, Instant now);
-  /// Operators have named a version.
+  /// Called when operators have declared a version.
   void setVersion(const WeightsRef &weights, std::uint64_t version);
-  /// Requests for weights of a service came, at any node.
+  /// Called when requests for a service's weights have arrived, at any node.
   void onDemand(const std::string &service, const WeightsRef &weights,
                 double requests, Instant now);
-  /// Requests wait at a node for weights that no replica of the cell has.
+  /// Called when requests wait at a node for weights that no replica of the
+  /// cell has.
   void onWaiting(const std::string &service, const WeightsRef &weights,
                  Instant now);
-  /// Requests wait at a node because the replicas that have the weights are at
-  /// their limit.
+  /// Called when requests wait at a node because the replicas that have the
+  /// weights are at their limit.
   void onCongested(const std::string &service, const WeightsRef &weights,
                    Instant now);
-  /// How many requests run at a replica, over all nodes.
+  /// Sets how many requests run at a replica, over all nodes.
   void setRunning(const std::string &replica, std::uint32_t running);
-  /// Requests that use weights at a replica began or ended, at any node. What
-  /// is in use is not dropped: an engine takes no other order until it is free.
+  /// Called when requests that use weights at a replica have begun or ended, at
+  /// any node. Weights in use are not dropped: an engine takes no other order
+  /// until they are free.
   void onUse(const std::string &replica, const WeightsRef &weights,
              std::int32_t change);
-  /// Adapters that other cells are loading at this moment.
+  /// Sets how many adapters other cells are loading at this moment.
   void setLoadingElsewhere(std::size_t n) { LoadingElsewhere = n; }
-  /// Base models that other cells are loading at this moment.
+  /// Sets how many base models other cells are loading at this moment.
   void setModelsElsewhere(std::size_t n) { ModelsElsewhere = n; }
-  /// A request for weights that should be ready was refused.
+  /// Called when a replica refused a request for weights that should be ready.
   void onRefusedEarly(const std::string &replica, const WeightsRef &weights,
                       Instant now);
-  /// A replica does not have weights that the books say it has.
+  /// Called when a replica does not have weights that it is recorded to hold.
   void onMissing(const std::string &replica, const WeightsRef &weights,
                  Instant now);
 
-  /// What to do now. Nothing is ordered unless `mayOrder`.
+  /// Returns what must be done now; nothing unless `mayOrder`.
   std::vector<PlacementAction> plan(bool mayOrder, Instant now);
   void onOrderAnswer(const std::string &replica, const EngineOrder &order,
                      OrderAnswer answer, Instant now);
   void onReport(const std::string &replica,
                 const std::optional<HoldingsReport> &report, Instant now);
-  /// Forgets all that was learnt from own orders, as after a time without the
-  /// lease in which another node ordered.
+  /// Discards the state of own orders and requests every replica's report, as
+  /// after a time without the lease in which another node ordered.
   void forget();
 
-  /// What each replica holds. Changes of it raise `revision`.
+  /// Returns what a replica holds. Changes of it raise `revision`.
   const Residency &residency(const std::string &replica) const;
   std::vector<std::string> replicas() const;
   std::uint64_t revision() const { return Revision; }
@@ -173,49 +182,52 @@
   struct Demand {
     double Weight = 0;
     double FastWeight = 0;
-    Instant At{};
-    Instant LastAsked{};
-    Instant PressedAt{-3'600'000'000};
-    /// Requests wait for it, since when; nothing if none do.
-    std::optional<Instant> WantedAt;
-    /// When a node last said so.
-    Instant RemindedAt{};
+    Instant UpdatedAt{};
+    Instant LastRequestAt{};
+    Instant CongestedAt{-3'600'000'000};
+    /// When requests began to wait for the weights; nothing if none do.
+    std::optional<Instant> WaitingSince;
+    /// When a node last reported waiting requests.
+    Instant LastWaitReportAt{};
   };
   using DemandKey = std::pair<std::string, WeightsRef>;
 
-  struct Book {
+  struct ReplicaState {
     ReplicaPtr Record;
-    /// Another start of it, or another replica, answers at its address.
+    /// Another incarnation, or another replica, answers at its address.
     bool Replaced = false;
     std::shared_ptr<const RoutePlan> Plan;
     const EngineSpec *Engine = nullptr;
-    std::uint64_t Count = 0;
+    std::uint64_t OrderCount = 0;
     Residency Held;
-    /// Dropped lately, the latest first.
-    std::list<WeightsRef> Quick;
+    /// Adapters that were dropped recently, the latest first.
+    std::list<WeightsRef> RecentlyDropped;
     std::uint32_t Running = 0;
-    /// Adapter that the replica is to load next; a place is being made for it,
-    /// or its order is on its way.
-    std::optional<WeightsRef> Making;
-    std::string_view MakingFor;
-    bool OrderOpen = false;
-    bool ReportOpen = false;
-    /// Orders in a row without an answer, and until when it gets none.
-    std::uint32_t Unanswered = 0;
-    Instant RestsUntil{};
-    /// When the books have to be compared with the engine's; none if not.
+    /// Adapter that the replica loads next: a slot is being freed for it, or
+    /// its order has been sent.
+    std::optional<WeightsRef> PendingAdapter;
+    std::string_view PendingReason;
+    bool OrderPending = false;
+    bool ReportPending = false;
+    /// Consecutive orders and report requests without an answer, and until when
+    /// the replica is sent none.
+    std::uint32_t UnansweredCount = 0;
+    Instant BackoffUntil{};
+    /// When the engine's report must be requested to correct this state;
+    /// nothing if it need not be.
     std::optional<Instant> ReportDue;
-    /// When to look whether adapters that leave have gone. Orders need not wait
-    /// for that: the places they take are counted until then.
-    std::optional<Instant> CheckDue;
-    /// A base model is being loaded until then.
-    Instant ModelBusyUntil{};
-    /// That load comes from the weight store.
+    /// When to check whether evicting adapters have been dropped. Orders need
+    /// not wait for that: the slots of these adapters are counted as occupied
+    /// until then.
+    std::optional<Instant> EvictionCheckDue;
+    /// A base model is being loaded until this time.
+    Instant ModelLoadUntil{};
+    /// That load is from the weight store.
     bool FromStore = false;
-    /// Base models that load without the weight store.
+    /// Base models that the replica's host has copies of.
     LocalCopies Local;
 
-    bool hasCopy(const std::string &model) const {
+    bool hasLocalCopy(const std::string &model) const {
       return Local.InMemory.contains(model) || Local.OnDisk.contains(model);
     }
     Span modelLoadTime(const ModelSpec &model) const;
@@ -223,64 +235,68 @@
 
   double rate(const Demand &demand, Instant now) const;
   double rateOf(const DemandKey &key, Instant now) const;
-  double worthOf(const Book &book, const WeightsRef &weights,
+  double valueOf(const ReplicaState &state, const WeightsRef &weights,
                  const ResidentWeights &held, Instant now);
-  std::size_t copies(const DemandKey &key);
+  std::size_t copyCount(const DemandKey &key);
   void countCopies();
-  bool current(const WeightsRef &weights, std::uint64_t version) const;
-  std::size_t adapters(const Book &book) const;
-  std::size_t loading(const Book &book, Instant now) const;
-  std::size_t loading(Instant now) const;
-  /// Whether another adapter may be loaded; one that may not waits for it.
-  bool mayLoad(Instant now);
-  bool orderable(const Book &book, Instant now) const;
-  void adopt(Book &book, const HeldWeights &held, const HeldWeights &pending,
-             std::uint64_t count, Instant now);
-  /// Weights that should be there were not.
-  void noteLate(const ResidentWeights &held, Instant now);
-  bool reportsThisStart(Book &book, const HoldingsReport &report,
+  bool isCurrent(const WeightsRef &weights, std::uint64_t version) const;
+  std::size_t adapterCount(const ReplicaState &state) const;
+  std::size_t loadingCount(const ReplicaState &state, Instant now) const;
+  std::size_t loadingCount(Instant now) const;
+  /// Whether another adapter may be loaded; if not, it counts as a delayed
+  /// load.
+  bool canLoad(Instant now);
+  bool canOrder(const ReplicaState &state, Instant now) const;
+  void applyHoldings(ReplicaState &state, const HeldWeights &held,
+                     const HeldWeights &pending, std::uint64_t count,
+                     Instant now);
+  /// Records that weights were missing though they should have been loaded.
+  void recordLate(const ResidentWeights &held, Instant now);
+  bool isOwnIncarnation(ReplicaState &state, const HoldingsReport &report,
                         Instant now) const;
-  static bool holdsAllModels(const Book &book);
-  const ModelSpec *missingModel(const Book &book, Instant now);
-  std::size_t modelsFromStore(Instant now) const;
+  static bool hasAllModels(const ReplicaState &state);
+  const ModelSpec *missingModel(const ReplicaState &state, Instant now);
+  std::size_t storeLoadCount(Instant now) const;
   void planModels(std::vector<PlacementAction> &actions, Instant now);
-  bool mayLoadFromStore(double rate, Instant now);
+  bool canLoadFromStore(double rate, Instant now);
   void planAdapters(std::vector<PlacementAction> &actions, Instant now);
-  bool place(const DemandKey &key, double worth, std::string_view reason,
-             std::vector<PlacementAction> &actions, Instant now);
-  const WeightsRef *victim(const Book &book, double below, Instant now);
-  void planWanted(std::vector<PlacementAction> &actions, Instant now);
-  void planScarce(std::vector<PlacementAction> &actions, Instant now);
-  void order(Book &book, OrderKind kind, const WeightsRef &weights,
-             std::string_view reason, std::vector<PlacementAction> &actions);
-  Span loadTime(const Book &book, const WeightsRef &weights, Instant now) const;
-  void remember(Book &book, const WeightsRef &weights);
-  void rest(Book &book, Instant now);
-  void changed() {
+  bool placeAdapter(const DemandKey &key, double value, std::string_view reason,
+                    std::vector<PlacementAction> &actions, Instant now);
+  const WeightsRef *findVictim(const ReplicaState &state, double below,
+                               Instant now);
+  void planWaiting(std::vector<PlacementAction> &actions, Instant now);
+  void planCopies(std::vector<PlacementAction> &actions, Instant now);
+  void addOrder(ReplicaState &state, OrderKind kind, const WeightsRef &weights,
+                std::string_view reason, std::vector<PlacementAction> &actions);
+  Span loadTime(const ReplicaState &state, const WeightsRef &weights,
+                Instant now) const;
+  void rememberDropped(ReplicaState &state, const WeightsRef &weights);
+  void backOff(ReplicaState &state, Instant now);
+  void markChanged() {
     ++Revision;
-    CopiesKnown = false;
+    CopiesValid = false;
   }
 
-  Settings Setup;
-  std::map<std::string, Book> Books;
+  Settings Options;
+  std::map<std::string, ReplicaState> Replicas;
   std::map<std::pair<std::string, WeightsRef>, std::int32_t> Uses;
   std::map<WeightsRef, std::uint64_t> Versions;
   std::map<DemandKey, Demand> Demands;
-  /// Those that requests wait for.
-  std::set<DemandKey> Wanted;
-  Instant NextScan{};
-  /// Copies of current versions in the cell; counted anew when the books have
-  /// changed.
+  /// Weights that requests wait for.
+  std::set<DemandKey> Waiting;
+  Instant NextDemandScan{};
+  /// Number of copies of current versions in the cell; counted anew when the
+  /// replicas' state has changed.
   std::map<DemandKey, std::size_t> Copies;
-  bool CopiesKnown = false;
+  bool CopiesValid = false;
   Instant NextModelLoad{};
-  /// Since when a base model could be loaded from the weight store.
+  /// Since when a base model could have been loaded from the weight store.
   std::optional<Instant> StoreFreeSince;
-  /// Whether the last look allowed orders.
+  /// Whether the last call of `plan` allowed orders.
   bool MayOrder = false;
   std::size_t LoadingElsewhere = 0;
-  /// Adapter loads that may be on their way over all cells.
-  LoadConcurrency Pace;
+  /// Limit of adapter loads in progress over all cells.
+  LoadConcurrency AdapterLoads;
   std::size_t ModelsElsewhere = 0;
   std::uint64_t Revision = 1;
 };
--- a/Hemlockglade/Coordination/Orders/CellPlacementPlan.cpp
+++ b/Hemlockglade/Coordination/Orders/CellPlacementPlan.cpp
@@ -1,4 +1,5 @@
-// What a desk orders, and why.
+// Planning half of `CellPlacement`: which orders are sent, and for which
+// reason.
 
 #include "Hemlockglade/Coordination/Orders/CellPlacement.h"
 
@@ -9,15 +10,16 @@
 
 namespace {
 
-/// Demand below this is forgotten: one request some 60 s ago.
-constexpr double LeastDemand = 0.005;
-/// Copies for demand alone that are ordered in one round.
-constexpr int CopiesARound = 3;
+/// Demand below this is discarded: one request some 60 s ago.
+constexpr double MinDemand = 0.005;
+/// Maximum number of copies for demand alone that are ordered in one round.
+constexpr int MaxCopiesPerRound = 3;
 
-/// Loads of base models a second that a plan is taken to allow at least.
-constexpr double LeastRate = 0.1;
+/// Minimum rate of base model loads that a plan is taken to allow, in loads a
+/// second.
+constexpr double MinRate = 0.1;
 
-std::uint64_t mix(std::string_view a, std::string_view b) {
+std::uint64_t hashOf(std::string_view a, std::string_view b) {
   return std::hash<std::string_view>{}(a)*31 + std::hash<std::string_view>{}(b);
 }
 
@@ -25,18 +27,18 @@
 
 std::vector<PlacementAction> CellPlacement::plan(bool mayOrder, Instant now) {
   std::vector<PlacementAction> actions;
-  // The owner before may have ordered just before its end.
+  // The previous owner may have ordered just before its right ended.
   if (mayOrder && !MayOrder)
-    NextModelLoad = std::max(NextModelLoad, now + Setup.ModelPauseOfNewOwner);
+    NextModelLoad = std::max(NextModelLoad, now + Options.NewOwnerModelDelay);
   MayOrder = mayOrder;
   if (!mayOrder)
     return actions;
-  for (auto &[id, book] : Books) {
-    bool due = (book.ReportDue && *book.ReportDue <= now) ||
-               (book.CheckDue && *book.CheckDue <= now);
-    if (book.ReportOpen || book.OrderOpen || !due)
+  for (auto &[id, state] : Replicas) {
+    bool isDue = (state.ReportDue && *state.ReportDue <= now) ||
+                 (state.EvictionCheckDue && *state.EvictionCheckDue <= now);
+    if (state.ReportPending || state.OrderPending || !isDue)
       continue;
-    book.ReportOpen = true;
+    state.ReportPending = true;
     actions.push_back(
         {PlacementAction::Kind::Report, id, {}, "books in doubt"});
   }
@@ -45,37 +47,39 @@
   return actions;
 }
 
-bool CellPlacement::holdsAllModels(const Book &book) {
-  const auto &models = book.Engine->Models;
+bool CellPlacement::hasAllModels(const ReplicaState &state) {
+  const auto &models = state.Engine->Models;
   return std::all_of(models.begin(), models.end(), [&](const auto &it) {
-    return book.Held.contains({it.Name, {}});
+    return state.Held.contains({it.Name, {}});
   });
 }
 
-std::size_t CellPlacement::modelsFromStore(Instant now) const {
-  auto n = std::count_if(Books.begin(), Books.end(), [now](const auto &it) {
-    return it.second.FromStore && it.second.ModelBusyUntil > now;
-  });
+std::size_t CellPlacement::storeLoadCount(Instant now) const {
+  auto n =
+      std::count_if(Replicas.begin(), Replicas.end(), [now](const auto &it) {
+        return it.second.FromStore && it.second.ModelLoadUntil > now;
+      });
   return static_cast<std::size_t>(n) + ModelsElsewhere;
 }
 
-const ModelSpec *CellPlacement::missingModel(const Book &book, Instant now) {
+const ModelSpec *CellPlacement::missingModel(const ReplicaState &state,
+                                             Instant now) {
   double used = 0;
-  for (const auto &[weights, held] : book.Held)
-    if (const auto *model = book.Engine->model(weights.Model))
+  for (const auto &[weights, held] : state.Held)
+    if (const auto *model = state.Engine->model(weights.Model))
       used += weights.Adapter.empty() ? model->WeightsMb : model->AdapterMb;
   const ModelSpec *best = nullptr;
-  double neediest = -1;
-  for (const auto &model : book.Engine->Models) {
+  double highestNeed = -1;
+  for (const auto &model : state.Engine->Models) {
     WeightsRef weights{model.Name, {}};
-    if (book.Held.contains(weights) ||
-        used + model.WeightsMb > book.Engine->WeightsMb)
+    if (state.Held.contains(weights) ||
+        used + model.WeightsMb > state.Engine->WeightsMb)
       continue;
-    DemandKey key{book.Record->Service, weights};
-    auto n = copies(key);
-    double need = (rateOf(key, now) + LeastDemand) / (1.0 + double(n));
-    if (need > neediest) {
-      neediest = need;
+    DemandKey key{state.Record->Service, weights};
+    auto n = copyCount(key);
+    double need = (rateOf(key, now) + MinDemand) / (1.0 + double(n));
+    if (need > highestNeed) {
+      highestNeed = need;
       best = &model;
     }
   }
@@ -84,228 +88,241 @@
 
 void CellPlacement::planModels(std::vector<PlacementAction> &actions,
                                Instant now) {
-  std::vector<std::pair<Book *, const ModelSpec *>> needy;
-  for (auto &[id, book] : Books) {
-    if (holdsAllModels(book) || !orderable(book, now))
+  std::vector<std::pair<ReplicaState *, const ModelSpec *>> missing;
+  for (auto &[id, state] : Replicas) {
+    if (hasAllModels(state) || !canOrder(state, now))
       continue;
-    const auto *model = missingModel(book, now);
+    const auto *model = missingModel(state, now);
     if (!model)
       continue;
     // A copy on the engine's own host costs the weight store nothing: such
-    // loads need not wait for each other. Engines that come back together serve
+    // loads need not wait for each other. Engines that restart together serve
     // again after 2 s, not one after the other.
-    if (book.hasCopy(model->Name))
-      order(book, OrderKind::Load, {model->Name, {}}, "model missing", actions);
+    if (state.hasLocalCopy(model->Name))
+      addOrder(state, OrderKind::Load, {model->Name, {}}, "model missing",
+               actions);
     else
-      needy.emplace_back(&book, model);
+      missing.emplace_back(&state, model);
   }
-  auto rate = LeastRate;
-  for (const auto &[book, model] : needy)
-    rate = std::max(rate, book->Engine->LoadsPerSecond);
-  if (needy.empty() || !mayLoadFromStore(rate, now))
+  auto rate = MinRate;
+  for (const auto &[state, model] : missing)
+    rate = std::max(rate, state->Engine->LoadsPerSecond);
+  if (missing.empty() || !canLoadFromStore(rate, now))
     return;
-  auto &[book, model] = needy.front();
-  order(*book, OrderKind::Load, {model->Name, {}}, "model missing", actions);
-  NextModelLoad = now + spanOf(Setup.CellCount / rate);
+  auto &[state, model] = missing.front();
+  addOrder(*state, OrderKind::Load, {model->Name, {}}, "model missing",
+           actions);
+  NextModelLoad = now + spanOf(Options.CellCount / rate);
   StoreFreeSince.reset();
 }
 
-bool CellPlacement::mayLoadFromStore(double rate, Instant now) {
-  auto most = std::max(1.0, std::floor(Setup.ModelLoadsPerRate * rate));
-  auto fromStore = static_cast<double>(modelsFromStore(now));
-  if (now < NextModelLoad || fromStore >= most) {
+bool CellPlacement::canLoadFromStore(double rate, Instant now) {
+  auto maxLoads = std::max(1.0, std::floor(Options.ModelLoadsPerRate * rate));
+  auto fromStore = static_cast<double>(storeLoadCount(now));
+  if (now < NextModelLoad || fromStore >= maxLoads) {
     StoreFreeSince.reset();
     return false;
   }
   if (!StoreFreeSince)
     StoreFreeSince = now;
-  auto turn = std::min(Setup.HeardWithin, spanOf(1 / rate)) * Setup.CellIndex;
-  return now >= *StoreFreeSince + turn;
+  auto delay =
+      std::min(Options.LoadReportDelay, spanOf(1 / rate)) * Options.CellIndex;
+  return now >= *StoreFreeSince + delay;
 }
 
 void CellPlacement::planAdapters(std::vector<PlacementAction> &actions,
                                  Instant now) {
-  for (auto &[id, book] : Books) {
-    if (!book.Making || !orderable(book, now))
+  for (auto &[id, state] : Replicas) {
+    if (!state.PendingAdapter || !canOrder(state, now))
       continue;
-    if (adapters(book) < book.Engine->AdapterSlots)
-      order(book, OrderKind::Load, *book.Making, book.MakingFor, actions);
+    if (adapterCount(state) < state.Engine->AdapterSlots)
+      addOrder(state, OrderKind::Load, *state.PendingAdapter,
+               state.PendingReason, actions);
     else
-      book.Making.reset();
+      state.PendingAdapter.reset();
   }
-  planWanted(actions, now);
-  if (now < NextScan)
+  planWaiting(actions, now);
+  if (now < NextDemandScan)
     return;
-  NextScan = now + Setup.ScanEvery;
+  NextDemandScan = now + Options.DemandScanInterval;
   std::erase_if(Demands, [&](const auto &it) {
-    return !it.second.WantedAt && rate(it.second, now) < LeastDemand;
+    return !it.second.WaitingSince && rate(it.second, now) < MinDemand;
   });
-  planScarce(actions, now);
+  planCopies(actions, now);
 }
 
-void CellPlacement::planWanted(std::vector<PlacementAction> &actions,
-                               Instant now) {
-  // Loads are few a second: the most wanted first, others as they grow old.
-  std::vector<std::pair<double, DemandKey>> waiting;
-  for (auto it = Wanted.begin(); it != Wanted.end();) {
+void CellPlacement::planWaiting(std::vector<PlacementAction> &actions,
+                                Instant now) {
+  // Only a few loads a second are possible: those in highest demand come first,
+  // and others as their wait grows.
+  std::vector<std::pair<double, DemandKey>> waitingKeys;
+  for (auto it = Waiting.begin(); it != Waiting.end();) {
     auto &demand = Demands[*it];
-    bool served = it->second.Adapter.empty() || copies(*it) > 0;
-    bool givenUp = now - demand.RemindedAt > Setup.WantLasts;
-    if (served || givenUp) {
-      demand.WantedAt.reset();
-      it = Wanted.erase(it);
+    bool isServed = it->second.Adapter.empty() || copyCount(*it) > 0;
+    bool timedOut = now - demand.LastWaitReportAt > Options.WantLasts;
+    if (isServed || timedOut) {
+      demand.WaitingSince.reset();
+      it = Waiting.erase(it);
       continue;
     }
-    double age = inSeconds(now - demand.WantedAt.value_or(now));
-    waiting.emplace_back(rate(demand, now) + Setup.WaitWeight * age, *it);
+    double age = inSeconds(now - demand.WaitingSince.value_or(now));
+    waitingKeys.emplace_back(rate(demand, now) + Options.WaitWeight * age, *it);
     ++it;
   }
-  std::sort(waiting.rbegin(), waiting.rend());
-  constexpr double Any = 1e9;
-  for (const auto &[need, key] : waiting) {
-    if (!mayLoad(now))
+  std::sort(waitingKeys.rbegin(), waitingKeys.rend());
+  constexpr double UnlimitedValue = 1e9;
+  for (const auto &[need, key] : waitingKeys) {
+    if (!canLoad(now))
       return;
-    place(key, Any, "requests wait", actions, now);
+    placeAdapter(key, UnlimitedValue, "requests wait", actions, now);
   }
 }
 
-void CellPlacement::planScarce(std::vector<PlacementAction> &actions,
+void CellPlacement::planCopies(std::vector<PlacementAction> &actions,
                                Instant now) {
-  std::vector<std::pair<double, DemandKey>> scarce;
+  std::vector<std::pair<double, DemandKey>> candidates;
   for (const auto &[key, demand] : Demands) {
-    if (key.second.Adapter.empty() || demand.WantedAt)
+    if (key.second.Adapter.empty() || demand.WaitingSince)
       continue;
     double rateNow = rate(demand, now);
-    bool pressed = now - demand.PressedAt < Setup.PressedFor;
-    if (pressed)
-      rateNow = std::max(rateNow, Setup.RateForCopy);
-    if (rateNow < Setup.RateForCopy)
+    bool isCongested = now - demand.CongestedAt < Options.PressedFor;
+    if (isCongested)
+      rateNow = std::max(rateNow, Options.RateForCopy);
+    if (rateNow < Options.RateForCopy)
       continue;
-    auto n = static_cast<double>(copies(key));
-    auto perCopy = pressed ? Setup.PressedRatePerCopy : Setup.RatePerCopy;
+    auto n = static_cast<double>(copyCount(key));
+    auto perCopy =
+        isCongested ? Options.PressedRatePerCopy : Options.RatePerCopy;
     if (n == 0 || rateNow > perCopy * n)
-      scarce.emplace_back(rateNow / (n + 1), key);
+      candidates.emplace_back(rateNow / (n + 1), key);
   }
-  // What gains most first.
-  std::sort(scarce.rbegin(), scarce.rend());
-  int left = CopiesARound;
-  for (const auto &[worth, key] : scarce) {
-    if (left == 0 || !mayLoad(now))
+  // Highest gain first.
+  std::sort(candidates.rbegin(), candidates.rend());
+  int remaining = MaxCopiesPerRound;
+  for (const auto &[value, key] : candidates) {
+    if (remaining == 0 || !canLoad(now))
       return;
-    if (place(key, worth / Setup.GainOverVictim, "demand", actions, now))
-      --left;
+    if (placeAdapter(key, value / Options.GainOverVictim, "demand", actions,
+                     now))
+      --remaining;
   }
 }
 
-bool CellPlacement::place(const DemandKey &key, double worth,
-                          std::string_view reason,
-                          std::vector<PlacementAction> &actions, Instant now) {
-  Book *best = nullptr;
-  const WeightsRef *drop = nullptr;
-  double lowest = 0;
-  for (auto &[id, book] : Books) {
-    if (book.Record->Service != key.first || !orderable(book, now) ||
-        book.Making || loading(book, now) >= Setup.LoadsPerReplica)
+bool CellPlacement::placeAdapter(const DemandKey &key, double value,
+                                 std::string_view reason,
+                                 std::vector<PlacementAction> &actions,
+                                 Instant now) {
+  ReplicaState *best = nullptr;
+  const WeightsRef *bestVictim = nullptr;
+  double lowestCost = 0;
+  for (auto &[id, state] : Replicas) {
+    if (state.Record->Service != key.first || !canOrder(state, now) ||
+        state.PendingAdapter ||
+        loadingCount(state, now) >= Options.LoadsPerReplica)
       continue;
-    auto model = book.Held.find({key.second.Model, {}});
-    auto held = book.Held.find(key.second);
-    if (model == book.Held.end() || model->second.ReadyAt > now)
+    auto model = state.Held.find({key.second.Model, {}});
+    auto held = state.Held.find(key.second);
+    if (model == state.Held.end() || model->second.ReadyAt > now)
       continue;
-    bool older = held != book.Held.end();
-    if (older &&
-        (held->second.Leaving || current(key.second, held->second.Version)))
+    bool isOlder = held != state.Held.end();
+    if (isOlder &&
+        (held->second.Leaving || isCurrent(key.second, held->second.Version)))
       continue;
-    bool full = !older && adapters(book) >= book.Engine->AdapterSlots;
-    const auto *out = full ? victim(book, worth, now) : nullptr;
-    if (full && !out)
+    bool isFull = !isOlder && adapterCount(state) >= state.Engine->AdapterSlots;
+    const auto *victim = isFull ? findVictim(state, value, now) : nullptr;
+    if (isFull && !victim)
       continue;
-    double cost = full ? worthOf(book, *out, book.Held.at(*out), now) : 0;
-    // The load of a replica counts in shares of its slots; coming back fast
+    double cost =
+        isFull ? valueOf(state, *victim, state.Held.at(*victim), now) : 0;
+    // The load of a replica counts in shares of its slots; a fast reload
     // outweighs half of them.
-    cost += static_cast<double>(book.Running) / book.Engine->Slots;
-    bool quick = std::find(book.Quick.begin(), book.Quick.end(), key.second) !=
-                 book.Quick.end();
-    // Replacing an older version in place waits for what runs on it; another
-    // replica is better as long as one has room.
-    constexpr double InPlace = 2;
-    cost += older ? InPlace : 0;
+    cost += static_cast<double>(state.Running) / state.Engine->Slots;
+    bool isReload =
+        std::find(state.RecentlyDropped.begin(), state.RecentlyDropped.end(),
+                  key.second) != state.RecentlyDropped.end();
+    // Replacing an older version in place waits for the requests that use it;
+    // another replica is better as long as one has a free slot.
+    constexpr double InPlaceCost = 2;
+    cost += isOlder ? InPlaceCost : 0;
     constexpr std::uint64_t Steps = 1024;
-    cost -= quick ? Setup.QuickGain : 0;
-    cost += Setup.SamePlaceGain *
-            static_cast<double>(mix(id, key.second.Adapter) % Steps) / Steps;
-    if (best && cost >= lowest)
+    cost -= isReload ? Options.QuickGain : 0;
+    cost += Options.SamePlaceGain *
+            static_cast<double>(hashOf(id, key.second.Adapter) % Steps) / Steps;
+    if (best && cost >= lowestCost)
       continue;
-    best = &book;
-    drop = out;
-    lowest = cost;
+    best = &state;
+    bestVictim = victim;
+    lowestCost = cost;
   }
   if (!best)
     return false;
-  best->Making = key.second;
-  best->MakingFor = reason;
-  CopiesKnown = false;
-  if (drop)
-    order(*best, OrderKind::Unload, WeightsRef(*drop), reason, actions);
+  best->PendingAdapter = key.second;
+  best->PendingReason = reason;
+  CopiesValid = false;
+  if (bestVictim)
+    addOrder(*best, OrderKind::Unload, WeightsRef(*bestVictim), reason,
+             actions);
   else
-    order(*best, OrderKind::Load, key.second, reason, actions);
+    addOrder(*best, OrderKind::Load, key.second, reason, actions);
   return true;
 }
 
-const WeightsRef *CellPlacement::victim(const Book &book, double below,
-                                        Instant now) {
+const WeightsRef *CellPlacement::findVictim(const ReplicaState &state,
+                                            double below, Instant now) {
   const WeightsRef *best = nullptr;
-  double least = below;
-  for (const auto &[weights, held] : book.Held) {
+  double lowestValue = below;
+  for (const auto &[weights, held] : state.Held) {
     if (weights.Adapter.empty() || held.Leaving || held.ReadyAt > now)
       continue;
-    DemandKey key{book.Record->Service, weights};
+    DemandKey key{state.Record->Service, weights};
     auto it = Demands.find(key);
-    bool wanted = it != Demands.end() && it->second.WantedAt;
-    bool recent = it != Demands.end() &&
-                  now - it->second.LastAsked < Setup.RecentUse &&
-                  copies(key) < 2 && current(weights, held.Version);
-    bool used = Uses.contains({book.Record->Incarnation.text(), weights});
-    if (wanted || recent || used)
+    bool hasWaiting = it != Demands.end() && it->second.WaitingSince;
+    bool isRecent = it != Demands.end() &&
+                    now - it->second.LastRequestAt < Options.RecentUse &&
+                    copyCount(key) < 2 && isCurrent(weights, held.Version);
+    bool isInUse = Uses.contains({state.Record->Incarnation.text(), weights});
+    if (hasWaiting || isRecent || isInUse)
       continue;
-    double worth = worthOf(book, weights, held, now);
-    if (worth < least) {
-      least = worth;
+    double value = valueOf(state, weights, held, now);
+    if (value < lowestValue) {
+      lowestValue = value;
       best = &weights;
     }
   }
   return best;
 }
 
-double CellPlacement::worthOf(const Book &book, const WeightsRef &weights,
+double CellPlacement::valueOf(const ReplicaState &state,
+                              const WeightsRef &weights,
                               const ResidentWeights &held, Instant now) {
-  DemandKey key{book.Record->Service, weights};
-  if (!current(weights, held.Version))
+  DemandKey key{state.Record->Service, weights};
+  if (!isCurrent(weights, held.Version))
     return 0;
   auto it = Demands.find(key);
   if (it == Demands.end())
     return 0;
-  // A copy is worth the requests that come to it.
-  auto n = std::max<std::size_t>(1, copies(key));
+  // The value of a copy is its share of the requests.
+  auto n = std::max<std::size_t>(1, copyCount(key));
   return rate(it->second, now) / static_cast<double>(n);
 }
 
-void CellPlacement::order(Book &book, OrderKind kind, const WeightsRef &weights,
-                          std::string_view reason,
-                          std::vector<PlacementAction> &actions) {
+void CellPlacement::addOrder(ReplicaState &state, OrderKind kind,
+                             const WeightsRef &weights, std::string_view reason,
+                             std::vector<PlacementAction> &actions) {
   PlacementAction action;
-  action.Replica = book.Record->Incarnation.text();
+  action.Replica = state.Record->Incarnation.text();
   action.Order.Kind = kind;
   action.Order.Weights = weights;
-  action.Order.ExpectedCount = book.Count;
+  action.Order.ExpectedCount = state.OrderCount;
   if (kind == OrderKind::Load) {
     auto it = Versions.find(weights);
     action.Order.Version = it == Versions.end() ? 0 : it->second;
   }
   action.Reason = reason;
-  book.OrderOpen = true;
+  state.OrderPending = true;
   if (kind == OrderKind::Unload) {
-    book.Held[weights].Leaving = true;
-    changed();
+    state.Held[weights].Leaving = true;
+    markChanged();
   }
   actions.push_back(std::move(action));
 }
--- a/Hemlockglade/Coordination/Orders/EngineOrder.h
+++ b/Hemlockglade/Coordination/Orders/EngineOrder.h
@@ -10,7 +10,7 @@
 
 namespace hemlockglade {
 
-/// What an order tells an engine to do with weights.
+/// What an order makes an engine do with weights.
 enum class OrderKind : std::uint8_t { Load, Unload };
 
 /// An order to one engine, under the lease of its cell.
@@ -19,29 +19,30 @@
   WeightsRef Weights;
   /// Version to load; 0 for the newest.
   std::uint64_t Version = 0;
-  /// Orders that the engine must have accepted before; another number means
-  /// that our books are wrong and the engine does nothing.
+  /// Number of orders that the engine must have accepted before. With another
+  /// number the owner's record of the replica is wrong, and the engine does
+  /// nothing.
   std::uint64_t ExpectedCount = 0;
-  /// Who holds the lease, and its fencing number.
+  /// Holder of the cell's lease, and its fencing number.
   std::string Holder;
   Epoch Fence = 0;
 };
 
-/// What an engine says to an order.
+/// An engine's answer to an order.
 enum class OrderAnswer : std::uint8_t {
-  /// It is being carried out.
+  /// The order is being carried out.
   Accepted,
-  /// What it asks for holds already.
+  /// The engine is already in the state that the order asks for.
   Holds,
-  /// Another order is under way, or the count differs.
+  /// Another order is being carried out, or the count differs.
   Conflict,
   /// The fencing number is lower than one that the engine has seen.
   Fenced,
-  /// Another incarnation answered: the one that was meant is gone.
+  /// Another incarnation answered; the addressed one has ended.
   OtherIncarnation,
   /// The engine does not know what is ordered.
   Rejected,
-  /// No answer: it may be carried out, also later.
+  /// No answer: the order may be carried out, even later.
   Unknown,
 };
 
@@ -54,19 +55,22 @@
   std::set<std::string> OnDisk;
 };
 
-/// What an engine reports of itself; some hundred milliseconds old.
+/// What an engine reports of itself; the content is some hundred milliseconds
+/// old.
 struct HoldingsReport {
   HeldWeights Held;
-  /// Adapters that are being loaded; they take places already.
+  /// Adapters that are being loaded; they occupy slots already.
   HeldWeights Pending;
   bool Busy = false;
   std::uint64_t OrderCount = 0;
   LocalCopies Local;
-  /// Unix time in milliseconds of the start that reports; 0 if not told.
+  /// Unix time in milliseconds at which the reporting incarnation started; 0 if
+  /// not reported.
   std::uint64_t StartedAtMs = 0;
 };
 
-/// How orders reach engines. Calls back later, never from inside.
+/// Sends orders to engines. The callbacks run later, never from inside the
+/// call.
 struct EngineHooks {
   std::function<void(const ReplicaRecord &replica, const EngineOrder &order,
                      std::function<void(OrderAnswer)> done)>
--- a/Hemlockglade/Coordination/Orders/HoldingsLog.cpp
+++ b/Hemlockglade/Coordination/Orders/HoldingsLog.cpp
@@ -2,10 +2,10 @@
 
 namespace hemlockglade {
 
-void HoldingsLog::mark(Entry &entry, const WeightsRef &weights) {
-  entry.ChangedAt[weights] = Number + 1;
-  entry.LastChange = Number + 1;
-  Open = true;
+void HoldingsLog::recordChange(Entry &entry, const WeightsRef &weights) {
+  entry.ChangedAt[weights] = Revision + 1;
+  entry.LastChange = Revision + 1;
+  HasChanges = true;
 }
 
 bool HoldingsLog::update(const std::string &replica, const Residency &held) {
@@ -14,22 +14,22 @@
   if (!isNew && entry.Held == held)
     return false;
   if (isNew) {
-    entry.WholeBefore = entry.LastChange = Number + 1;
-    Open = true;
+    entry.CompleteBefore = entry.LastChange = Revision + 1;
+    HasChanges = true;
   }
   for (const auto &[weights, it] : held) {
     auto known = entry.Held.find(weights);
     if (known == entry.Held.end() || !(known->second == it))
-      mark(entry, weights);
+      recordChange(entry, weights);
   }
   for (const auto &[weights, it] : entry.Held)
     if (!held.contains(weights))
-      mark(entry, weights);
+      recordChange(entry, weights);
   entry.Held = held;
-  if (entry.ChangedAt.size() > held.size() + Setup.MostDropped) {
+  if (entry.ChangedAt.size() > held.size() + Options.MaxDropped) {
     std::erase_if(entry.ChangedAt,
                   [&held](const auto &it) { return !held.contains(it.first); });
-    entry.WholeBefore = Number + 1;
+    entry.CompleteBefore = Revision + 1;
   }
   return true;
 }
@@ -38,12 +38,12 @@
                               const WeightsRef &weights) {
   auto it = Replicas.find(replica);
   if (it != Replicas.end() && it->second.Held.contains(weights))
-    mark(it->second, weights);
+    recordChange(it->second, weights);
 }
 
 void HoldingsLog::commit() {
-  if (std::exchange(Open, false))
-    ++Number;
+  if (std::exchange(HasChanges, false))
+    ++Revision;
 }
 
 void HoldingsLog::keepOnly(const std::set<std::string> &replicas) {
@@ -54,22 +54,22 @@
 
 void HoldingsLog::clear() {
   Replicas.clear();
-  Number = 0;
-  Open = false;
+  Revision = 0;
+  HasChanges = false;
 }
 
-std::vector<HoldingsChange> HoldingsLog::since(std::uint64_t number) const {
+std::vector<HoldingsChange> HoldingsLog::since(std::uint64_t revision) const {
   std::vector<HoldingsChange> out;
   for (const auto &[replica, entry] : Replicas) {
-    if (entry.LastChange <= number)
+    if (entry.LastChange <= revision)
       continue;
     HoldingsChange change;
     change.Replica = replica;
-    change.Complete = number < entry.WholeBefore;
+    change.Complete = revision < entry.CompleteBefore;
     if (change.Complete)
       change.Held = entry.Held;
     for (const auto &[weights, at] : entry.ChangedAt) {
-      if (change.Complete || at <= number)
+      if (change.Complete || at <= revision)
         continue;
       auto held = entry.Held.find(weights);
       if (held == entry.Held.end())
--- a/Hemlockglade/Coordination/Orders/HoldingsLog.h
+++ b/Hemlockglade/Coordination/Orders/HoldingsLog.h
@@ -4,61 +4,62 @@
 
 namespace hemlockglade {
 
-/// What has changed of one replica's holdings.
+/// Changes of one replica's holdings.
 struct HoldingsChange {
   std::string Replica;
-  /// All that it holds, rather than what changed.
+  /// `Held` is all that the replica holds, rather than only what changed.
   bool Complete = false;
   Residency Held;
-  /// Weights that it held before and no longer does.
+  /// Weights that the replica held before and no longer does.
   std::vector<WeightsRef> Dropped;
 };
 
-/// What the replicas of a cell hold, with a number for each change, so that
-/// nodes are told only what they have not heard: told in full, the loads of a
-/// busy cell would fill the link of a weak owner. No clock, no sockets.
+/// Holdings of a cell's replicas, with a revision for each change, so that
+/// nodes are sent only what they have not received: sent in full, the loads of
+/// a busy cell would fill the link of a weak owner. Deterministic: it has no
+/// clock and does no I/O.
 class HoldingsLog {
 public:
   struct Settings {
-    /// Dropped weights of a replica that are remembered; beyond them it is told
-    /// in full once.
-    std::size_t MostDropped = 64;
+    /// Maximum number of a replica's dropped weights that are remembered;
+    /// beyond it the replica is sent in full once.
+    std::size_t MaxDropped = 64;
   };
 
   HoldingsLog() : HoldingsLog(Settings{}) {}
-  explicit HoldingsLog(Settings settings) : Setup(settings) {}
+  explicit HoldingsLog(Settings settings) : Options(settings) {}
 
-  /// Takes what a replica holds now; says whether that is news.
+  /// Sets what a replica holds now; returns whether that changes anything.
   bool update(const std::string &replica, const Residency &held);
-  /// Has an entry told again: a node's view of it may be wrong.
+  /// Has an entry sent again, for a node whose view of it may be wrong.
   void markChanged(const std::string &replica, const WeightsRef &weights);
-  /// Ends a round of notes: its changes get the next number.
+  /// Ends a round of updates: its changes get the next revision.
   void commit();
-  /// Forgets replicas that are not among these.
+  /// Removes the replicas that are not among these.
   void keepOnly(const std::set<std::string> &replicas);
   void clear();
 
-  /// Number of the last closed round.
-  std::uint64_t revision() const { return Number; }
-  /// What has changed after a number; everything after 0.
-  std::vector<HoldingsChange> since(std::uint64_t number) const;
+  /// Revision of the last round that was committed.
+  std::uint64_t revision() const { return Revision; }
+  /// Returns what has changed after a revision; all holdings for revision 0.
+  std::vector<HoldingsChange> since(std::uint64_t revision) const;
 
 private:
   struct Entry {
     Residency Held;
-    /// When each of its weights changed last, dropped ones included.
+    /// Revision in which each weight changed last, dropped weights included.
     std::map<WeightsRef, std::uint64_t> ChangedAt;
-    /// Who knows less is told in full.
-    std::uint64_t WholeBefore = 0;
+    /// Nodes that have a lower revision are sent the replica in full.
+    std::uint64_t CompleteBefore = 0;
     std::uint64_t LastChange = 0;
   };
 
-  void mark(Entry &entry, const WeightsRef &weights);
+  void recordChange(Entry &entry, const WeightsRef &weights);
 
-  Settings Setup;
+  Settings Options;
   std::map<std::string, Entry> Replicas;
-  std::uint64_t Number = 0;
-  bool Open = false;
+  std::uint64_t Revision = 0;
+  bool HasChanges = false;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Orders/LoadConcurrency.cpp
+++ b/Hemlockglade/Coordination/Orders/LoadConcurrency.cpp
@@ -5,48 +5,48 @@
 
 namespace hemlockglade {
 
-double LoadConcurrency::first() const {
-  return std::max(Setup.Least, Setup.FirstPerRate * Rate);
+double LoadConcurrency::initial() const {
+  return std::max(Options.Least, Options.FirstPerRate * Rate);
 }
 
-void LoadConcurrency::bound() {
-  Number = std::clamp(Number, Setup.LowestShare * first(),
-                      std::max(Setup.HighestShare, 1.0) * first());
+void LoadConcurrency::clampLimit() {
+  Limit = std::clamp(Limit, Options.MinShare * initial(),
+                     std::max(Options.MaxShare, 1.0) * initial());
 }
 
 void LoadConcurrency::setRate(double rate) {
-  if (rate == Rate && Number > 0)
+  if (rate == Rate && Limit > 0)
     return;
   Rate = rate;
-  Number = first();
+  Limit = initial();
 }
 
 void LoadConcurrency::onLoadDelayed(Instant now) {
-  // What lies between two calls counts only if it is short: nobody waited in a
-  // longer pause.
-  constexpr Span Longest = std::chrono::milliseconds(300);
-  auto since = now - std::exchange(RoseAt, now);
-  bool waitedOn = since > Span(0) && since <= Longest;
-  if (!waitedOn || now - FellAt < Setup.FallPause)
+  // The time between two calls counts only if it is short: no load was delayed
+  // during a longer pause.
+  constexpr Span MaxGap = std::chrono::milliseconds(300);
+  auto since = now - std::exchange(DelayedAt, now);
+  bool wasDelayed = since > Span(0) && since <= MaxGap;
+  if (!wasDelayed || now - LoweredAt < Options.DecreaseInterval)
     return;
-  double most = now < NoProbeUntil ? std::max(first(), Number)
-                                   : Setup.HighestShare * first();
-  Number += Setup.RisePerSecond * first() * inSeconds(since);
-  Number = std::min(Number, most);
-  bound();
+  double maxLimit = now < RaiseBackoffUntil ? std::max(initial(), Limit)
+                                            : Options.MaxShare * initial();
+  Limit += Options.RisePerSecond * initial() * inSeconds(since);
+  Limit = std::min(Limit, maxLimit);
+  clampLimit();
 }
 
 void LoadConcurrency::onLate(Instant now) {
-  if (Setup.RisePerSecond <= 0 || now - FellAt < Setup.FallPause)
+  if (Options.RisePerSecond <= 0 || now - LoweredAt < Options.DecreaseInterval)
     return;
-  FellAt = now;
-  if (Number > first()) {
-    NoProbeUntil = now + Setup.ProbePause;
-    Number = std::max(first(), Setup.Fall * Number);
+  LoweredAt = now;
+  if (Limit > initial()) {
+    RaiseBackoffUntil = now + Options.RaiseBackoff;
+    Limit = std::max(initial(), Options.DecreaseFactor * Limit);
   } else {
-    Number *= Setup.Fall;
+    Limit *= Options.DecreaseFactor;
   }
-  bound();
+  clampLimit();
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Orders/LoadConcurrency.h
+++ b/Hemlockglade/Coordination/Orders/LoadConcurrency.h
@@ -6,57 +6,60 @@
 
 namespace hemlockglade {
 
-/// How many adapter loads may be on their way at once over all replicas. The
-/// weight store serves so many at full speed; beyond, all become slower in
-/// proportion, and below, requests wait for loads that could have begun. The
-/// number is not declared anywhere, so it is learnt: it rises while loads wait
-/// for their turn and come in time, and falls when one comes late.
+/// Limits how many adapter loads may be in progress at once over all replicas.
+/// The weight store serves that many at full speed. With more, all become
+/// slower in proportion; with fewer, requests wait for loads that could have
+/// started. The limit is not declared anywhere, so it is learnt: it rises while
+/// loads are delayed by it and finish in time, and falls when one finishes
+/// late.
 class LoadConcurrency {
 public:
   struct Settings {
-    /// First number for each base model load a second that the store is
-    /// declared to allow, and at least.
+    /// Initial limit per base model load a second that the store is declared to
+    /// allow, and the minimum of the initial limit.
     double FirstPerRate = 2.4;
     double Least = 8;
-    /// Bounds of what is learnt, as shares of the first number.
-    double LowestShare = 0.8;
-    double HighestShare = 1.5;
-    /// Rise in a second in which loads wait, as a share of the first number; 0
-    /// keeps the first number.
+    /// Bounds of the learnt limit, as shares of the initial limit.
+    double MinShare = 0.8;
+    double MaxShare = 1.5;
+    /// Rise per second in which loads are delayed, as a share of the initial
+    /// limit; 0 keeps the initial limit.
     double RisePerSecond = 0.3;
-    /// What is left of the number after a late load, and how long it is not
-    /// lowered again: loads that were late for the same reason come within
-    /// about one load's time.
-    double Fall = 0.9;
-    Span FallPause = std::chrono::milliseconds(400);
-    /// How long a number above the first is not tried again after a late load.
-    /// Each try makes some requests ask an engine for what is not there yet.
-    Span ProbePause = std::chrono::seconds(10);
+    /// Factor of the limit after a late load, and how long it is not lowered
+    /// again: loads that are late for the same reason finish within about one
+    /// load's time.
+    double DecreaseFactor = 0.9;
+    Span DecreaseInterval = std::chrono::milliseconds(400);
+    /// How long the limit is not raised above the initial one after a late
+    /// load. Each rise makes some requests go to an engine that does not have
+    /// their weights yet.
+    Span RaiseBackoff = std::chrono::seconds(10);
   };
 
-  explicit LoadConcurrency(Settings settings) : Setup(settings) {}
+  explicit LoadConcurrency(Settings settings) : Options(settings) {}
 
-  /// The store is declared to allow this many base model loads a second.
+  /// Sets how many base model loads a second the store is declared to allow.
   void setRate(double rate);
-  /// Loads wait for their turn at this moment.
+  /// Called while the limit delays loads.
   void onLoadDelayed(Instant now);
-  /// An adapter from the store was not there when it should have been.
+  /// Called when an adapter from the store was not loaded by the time it was
+  /// due.
   void onLate(Instant now);
 
-  /// Loads that may be on their way.
-  std::size_t limit() const { return static_cast<std::size_t>(Number); }
+  /// Number of loads that may be in progress.
+  std::size_t limit() const { return static_cast<std::size_t>(Limit); }
 
 private:
-  double first() const;
-  void bound();
+  double initial() const;
+  void clampLimit();
 
-  Settings Setup;
+  Settings Options;
   double Rate = 0;
-  double Number = 0;
-  Instant RoseAt{-3'600'000'000};
-  Instant FellAt{-3'600'000'000};
-  /// Until then the number doesn't rise above the first.
-  Instant NoProbeUntil{};
+  double Limit = 0;
+  Instant DelayedAt{-3'600'000'000};
+  Instant LoweredAt{-3'600'000'000};
+  /// Until then the limit doesn't rise above the initial one.
+  Instant RaiseBackoffUntil{};
 };
 
 } // namespace hemlockglade
--- a/UnitTests/Coordination/Orders/CellLeaseDrill.h
+++ b/UnitTests/Coordination/Orders/CellLeaseDrill.h
@@ -4,27 +4,28 @@
 
 namespace hemlockglade::test {
 
-/// Keeps copies of the table, to which it can be set back.
-struct DrillWorld : LeaseWorld {
+/// Keeps copies of the table's rows, to which it can be rolled back.
+struct RollbackWorld : LeaseWorld {
   template <typename... Args>
-  explicit DrillWorld(Args... args) : LeaseWorld(args...) {
+  explicit RollbackWorld(Args... args) : LeaseWorld(args...) {
     Table.Era = 1;
   }
 
-  void play(Span span) {
-    for (Span gone{0}; gone < span; gone += LeaseStep) {
+  void runWithCopies(Span span) {
+    for (Span elapsed{0}; elapsed < span; elapsed += LeaseStep) {
       Copies[Time.now()] = Table.Rows;
       run(LeaseStep);
     }
   }
 
-  /// The table is away, and comes back as it was `age` before.
-  void stepBack(Span age, Span away) {
+  /// Makes the table unavailable for `downtime`, and then available with the
+  /// rows of `age` before.
+  void rollBack(Span age, Span downtime) {
     auto copy = Copies.upper_bound(Time.now() - age);
     auto rows = copy == Copies.begin() ? std::map<std::string, TableRow>{}
                                        : std::prev(copy)->second;
     Table.Down = true;
-    play(away);
+    runWithCopies(downtime);
     Table.Down = false;
     ++Table.Era;
     Table.Rows = std::move(rows);
--- a/UnitTests/Coordination/Orders/CellLeaseDrillTest.cpp
+++ b/UnitTests/Coordination/Orders/CellLeaseDrillTest.cpp
@@ -1,7 +1,7 @@
-// The table is away for a moment and comes back from a copy that is some
-// seconds old: what was written since is gone, and versions are given out
-// again. Whoever holds a lease then must not order beside another, nor under an
-// epoch number that another one has had.
+// The table is unavailable for a moment and is restored from a copy that is
+// some seconds old: later writes are lost, and versions are given out again. A
+// node that holds a lease then must not order at the same time as another, nor
+// under a fencing number that another node has had.
 
 #include "UnitTests/Coordination/Orders/CellLeaseDrill.h"
 
@@ -10,62 +10,63 @@
 
 namespace hemlockglade::test {
 
-TEST_CASE("a former holder does not order when its row comes back",
+TEST_CASE("a former holder does not order when the table restores its row",
           "[lease][drill]") {
-  DrillWorld world(2, 2);
-  world.play(milliseconds(2000));
+  RollbackWorld world(2, 2);
+  world.runWithCopies(milliseconds(2000));
   auto *first = world.holder();
   REQUIRE(first);
-  first->Cut = true;
-  world.play(milliseconds(7000));
+  first->Partitioned = true;
+  world.runWithCopies(milliseconds(7000));
   REQUIRE(world.holder());
   REQUIRE(world.holder() != first);
-  first->Cut = false;
-  world.stepBack(milliseconds(8000), milliseconds(300));
-  world.play(milliseconds(6000));
-  CHECK_FALSE(world.TooSoon);
-  CHECK_FALSE(world.FenceFell);
+  first->Partitioned = false;
+  world.rollBack(milliseconds(8000), milliseconds(300));
+  world.runWithCopies(milliseconds(6000));
+  CHECK_FALSE(world.OrderedTooSoon);
+  CHECK_FALSE(world.FenceNotIncreased);
 }
 
-TEST_CASE("a row that the copy lacks was held all the same", "[lease][drill]") {
-  DrillWorld world(2, 2);
-  world.play(milliseconds(2000));
+TEST_CASE("a lease whose row a restored copy lacks still counts as held",
+          "[lease][drill]") {
+  RollbackWorld world(2, 2);
+  world.runWithCopies(milliseconds(2000));
   auto *first = world.holder();
   REQUIRE(first);
-  // It is late in finding that the row is gone.
-  first->Cut = true;
-  world.stepBack(milliseconds(60000), milliseconds(300));
-  world.play(milliseconds(6000));
-  CHECK_FALSE(world.TooSoon);
-  CHECK_FALSE(world.FenceFell);
+  // It finds out late that the row is missing.
+  first->Partitioned = true;
+  world.rollBack(milliseconds(60000), milliseconds(300));
+  world.runWithCopies(milliseconds(6000));
+  CHECK_FALSE(world.OrderedTooSoon);
+  CHECK_FALSE(world.FenceNotIncreased);
 }
 
 TEST_CASE(
-    "no two hosts order within the handover, whenever the table steps back",
+    "no two hosts order within the handover whenever the table is rolled back",
     "[lease][drill]") {
   REQUIRE(rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    DrillWorld world(seed);
+    RollbackWorld world(seed);
     for (int step = 0; step < 12; ++step) {
       auto &host = *world.Hosts[random() % world.Hosts.size()];
       switch (random() % 4) {
       case 0:
-        host.Frozen = !host.Frozen;
+        host.Suspended = !host.Suspended;
         break;
       case 1:
-        host.Cut = !host.Cut;
+        host.Partitioned = !host.Partitioned;
         break;
       case 2:
         host.restart();
         break;
       default:
-        world.stepBack(milliseconds(random() % 9000),
+        world.rollBack(milliseconds(random() % 9000),
                        milliseconds(random() % 2000));
       }
-      world.play(milliseconds(random() % 4000));
+      world.runWithCopies(milliseconds(random() % 4000));
     }
-    RC_ASSERT_FALSE(world.TooSoon);
-    RC_ASSERT_FALSE(world.FenceFell);
+    RC_ASSERT_FALSE(world.OrderedTooSoon);
+    RC_ASSERT_FALSE(world.FenceNotIncreased);
   }));
 }
 
--- a/UnitTests/Coordination/Orders/CellLeaseExplorerTest.cpp
+++ b/UnitTests/Coordination/Orders/CellLeaseExplorerTest.cpp
@@ -1,5 +1,5 @@
-// Plays every sequence of a few events, up to a depth, on two hosts and a table
-// that steps back.
+// Runs every sequence of a few events, up to a depth, on two hosts and a table
+// that can be rolled back.
 
 #include "UnitTests/Coordination/Orders/CellLeaseDrill.h"
 
@@ -11,41 +11,41 @@
 
 enum class LeaseEvent : std::uint8_t {
   Nothing,
-  FreezeOrWake,
-  CutOrJoin,
-  CutOrJoinOther,
+  ToggleSuspended,
+  TogglePartitioned,
+  TogglePartitionedOther,
   Restart,
   LoseAnswers,
-  StepBackAMoment,
-  StepBackFar,
+  RollBackBriefly,
+  RollBackFar,
 };
 constexpr std::size_t LeaseEvents = 8;
 
-void apply(DrillWorld &world, LeaseEvent event) {
+void apply(RollbackWorld &world, LeaseEvent event) {
   auto &first = *world.Hosts[0];
   auto &other = *world.Hosts[1];
   world.Table.Faults.LoseAnswer = 0;
   switch (event) {
   case LeaseEvent::Nothing:
     return;
-  case LeaseEvent::FreezeOrWake:
-    first.Frozen = !first.Frozen;
+  case LeaseEvent::ToggleSuspended:
+    first.Suspended = !first.Suspended;
     return;
-  case LeaseEvent::CutOrJoin:
-    first.Cut = !first.Cut;
+  case LeaseEvent::TogglePartitioned:
+    first.Partitioned = !first.Partitioned;
     return;
-  case LeaseEvent::CutOrJoinOther:
-    other.Cut = !other.Cut;
+  case LeaseEvent::TogglePartitionedOther:
+    other.Partitioned = !other.Partitioned;
     return;
   case LeaseEvent::Restart:
     return first.restart();
   case LeaseEvent::LoseAnswers:
     world.Table.Faults.LoseAnswer = 1;
     return;
-  case LeaseEvent::StepBackAMoment:
-    return world.stepBack(milliseconds(900), milliseconds(100));
-  case LeaseEvent::StepBackFar:
-    return world.stepBack(milliseconds(6000), milliseconds(100));
+  case LeaseEvent::RollBackBriefly:
+    return world.rollBack(milliseconds(900), milliseconds(100));
+  case LeaseEvent::RollBackFar:
+    return world.rollBack(milliseconds(6000), milliseconds(100));
   }
 }
 
@@ -56,34 +56,35 @@
   return out;
 }
 
-/// Sequences in which two hosts ordered within the handover, or an epoch number
-/// fell or was given out twice; and one of them.
-struct Found {
-  int Played = 0;
-  int Broken = 0;
-  std::string First;
+/// Number of sequences, and of those in which two hosts ordered within the
+/// handover, or a fencing number fell or was given out twice; and one of the
+/// latter.
+struct ExploreResult {
+  int RunCount = 0;
+  int FailureCount = 0;
+  std::string FirstFailure;
 };
 
-Found explore(std::size_t depth) {
-  constexpr Span Between = milliseconds(2000);
-  constexpr Span After = milliseconds(7000);
-  Found out;
+ExploreResult explore(std::size_t depth) {
+  constexpr Span RunAfterEvent = milliseconds(2000);
+  constexpr Span RunAfterSequence = milliseconds(7000);
+  ExploreResult out;
   std::vector<LeaseEvent> events(depth, LeaseEvent::Nothing);
   for (bool more = true; more;) {
-    DrillWorld world(1, 2);
-    world.play(milliseconds(1000));
+    RollbackWorld world(1, 2);
+    world.runWithCopies(milliseconds(1000));
     for (auto it : events) {
       apply(world, it);
-      world.play(Between);
+      world.runWithCopies(RunAfterEvent);
     }
     world.Table.Faults.LoseAnswer = 0;
     for (auto &it : world.Hosts)
-      it->Frozen = it->Cut = false;
-    world.play(After);
-    ++out.Played;
-    if (world.TooSoon || world.FenceFell) {
-      if (out.Broken++ == 0)
-        out.First = textOf(events);
+      it->Suspended = it->Partitioned = false;
+    world.runWithCopies(RunAfterSequence);
+    ++out.RunCount;
+    if (world.OrderedTooSoon || world.FenceNotIncreased) {
+      if (out.FailureCount++ == 0)
+        out.FirstFailure = textOf(events);
     }
     more = false;
     for (auto &it : events) {
@@ -100,17 +101,19 @@
 
 } // namespace
 
-TEST_CASE("no sequence of four events makes two hosts order",
-          "[lease][drill]") {
-  auto found = explore(4);
-  CAPTURE(found.Played, found.First);
-  CHECK(found.Broken == 0);
+TEST_CASE(
+    "no sequence of four events makes two hosts order within the handover",
+    "[lease][drill]") {
+  auto result = explore(4);
+  CAPTURE(result.RunCount, result.FirstFailure);
+  CHECK(result.FailureCount == 0);
 }
 
-TEST_CASE("no sequence of six events makes two hosts order", "[.][explore]") {
-  auto found = explore(6);
-  CAPTURE(found.Played, found.First);
-  CHECK(found.Broken == 0);
+TEST_CASE("no sequence of six events makes two hosts order within the handover",
+          "[.][explore]") {
+  auto result = explore(6);
+  CAPTURE(result.RunCount, result.FirstFailure);
+  CHECK(result.FailureCount == 0);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Orders/CellLeaseTest.cpp
+++ b/UnitTests/Coordination/Orders/CellLeaseTest.cpp
@@ -5,7 +5,7 @@
 
 namespace hemlockglade::test {
 
-TEST_CASE("a row's text holds its notes, if it has any", "[lease]") {
+TEST_CASE("a row's text contains its notes, if it has any", "[lease]") {
   CellLeaseRow row{"host", "host-1", "10.0.0.1:7", 4, false, true, ""};
   CHECK(CellLeaseRow::parse(row.text())->Notes.empty());
   row.Notes = "a:1;b:2";
@@ -13,7 +13,7 @@
   CHECK(CellLeaseRow::parse(row.text())->Ordering);
 }
 
-TEST_CASE("notes go from one holder to the next", "[lease]") {
+TEST_CASE("notes pass from one holder to the next", "[lease]") {
   LeaseWorld world(1, 2);
   std::vector<std::string> notes(2);
   for (std::size_t it = 0; it < notes.size(); ++it)
@@ -23,63 +23,64 @@
   world.run(milliseconds(500));
   auto *first = world.holder();
   REQUIRE(first);
-  auto holds = first == world.Hosts[0].get() ? 0U : 1U;
-  notes[holds] = "kept";
+  auto holderIndex = first == world.Hosts[0].get() ? 0U : 1U;
+  notes[holderIndex] = "kept";
   world.run(milliseconds(1000));
-  first->Frozen = true;
+  first->Suspended = true;
   world.run(milliseconds(8000));
-  REQUIRE(world.holder() == world.Hosts[1 - holds].get());
-  CHECK(notes[1 - holds] == "kept");
+  REQUIRE(world.holder() == world.Hosts[1 - holderIndex].get());
+  CHECK(notes[1 - holderIndex] == "kept");
   auto row = CellLeaseRow::parse(world.Table.Rows.begin()->second.Value);
   CHECK(row->Notes == "kept");
 }
 
-TEST_CASE("the first host that asks may order at once", "[lease]") {
+TEST_CASE("the first host that takes a lease may order at once", "[lease]") {
   LeaseWorld world(1);
   world.run(milliseconds(500));
   REQUIRE(world.holder());
   CHECK(world.holder()->Lease->fence() == 1);
 }
 
-TEST_CASE("a lease that lost its host is taken over after the handover",
+TEST_CASE("a lease whose holder has stopped is taken over after the handover",
           "[lease]") {
   LeaseWorld world(2);
   world.run(milliseconds(2000));
   auto *first = world.holder();
   REQUIRE(first);
-  first->Frozen = true;
+  first->Suspended = true;
   world.run(milliseconds(8000));
   auto *next = world.holder();
   REQUIRE(next);
   CHECK(next != first);
   CHECK(next->Lease->fence() == 2);
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("a frozen holder does not order when it wakes", "[lease]") {
+TEST_CASE("a suspended holder does not order when it resumes", "[lease]") {
   LeaseWorld world(3);
   world.run(milliseconds(2000));
   auto *first = world.holder();
   REQUIRE(first);
-  first->Frozen = true;
+  first->Suspended = true;
   world.run(milliseconds(7000));
-  first->Frozen = false;
+  first->Suspended = false;
   CHECK_FALSE(first->Lease->mayOrder());
   world.run(milliseconds(2000));
   CHECK_FALSE(first->Lease->held());
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("a holder that is heard of is left alone while its lease lasts",
-          "[lease]") {
+TEST_CASE(
+    "a holder that sends heartbeats keeps its lease until the lease expires",
+    "[lease]") {
   LeaseWorld world(4, 2);
   world.run(milliseconds(2000));
   auto *first = world.holder();
   REQUIRE(first);
   auto &other =
       first == world.Hosts[0].get() ? *world.Hosts[1] : *world.Hosts[0];
-  first->Cut = true;
-  SECTION("a lease that has run out is taken over though its holder talks") {
+  first->Partitioned = true;
+  SECTION("an expired lease is taken over though its holder sends heartbeats") {
     for (int it = 0; it < 160; ++it) {
       world.run(LeaseStep);
       other.Lease->onHolderHeartbeat(first->Lease->version(),
@@ -87,7 +88,7 @@
     }
     CHECK(world.holder() == &other);
   }
-  SECTION("one that lasts is not") {
+  SECTION("a lease that has not expired is not taken over") {
     for (int it = 0; it < 160; ++it) {
       world.run(LeaseStep);
       other.Lease->onHolderHeartbeat(first->Lease->version(),
@@ -95,11 +96,11 @@
     }
     CHECK_FALSE(other.Lease->held());
   }
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("a holder that the table turns away but that talks is followed as "
-          "soon as its lease has ended",
+TEST_CASE("a holder that the table refuses but that sends heartbeats is "
+          "succeeded as soon as its lease has expired",
           "[lease]") {
   LeaseWorld world(4, 2);
   world.run(milliseconds(2000));
@@ -107,24 +108,24 @@
   REQUIRE(first);
   auto &other =
       first == world.Hosts[0].get() ? *world.Hosts[1] : *world.Hosts[0];
-  auto runTold = [&](Span span) {
-    for (Span gone{0}; gone < span; gone += LeaseStep) {
+  auto runWithHeartbeats = [&](Span span) {
+    for (Span elapsed{0}; elapsed < span; elapsed += LeaseStep) {
       world.run(LeaseStep);
       other.Lease->onHolderHeartbeat(first->Lease->version(),
                                      first->Lease->remaining());
     }
   };
-  // Renewals move the row on while the other node only hears of them.
-  runTold(milliseconds(3000));
-  first->Cut = true;
+  // Renewals change the row while the other node only receives heartbeats.
+  runWithHeartbeats(milliseconds(3000));
+  first->Partitioned = true;
   while (first->Lease->mayOrder())
-    runTold(LeaseStep);
-  runTold(Handover + milliseconds(250) + 4 * LeaseStep);
+    runWithHeartbeats(LeaseStep);
+  runWithHeartbeats(Handover + milliseconds(250) + 4 * LeaseStep);
   CHECK(world.holder() == &other);
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("beats that were on their way for long give a lease no new time",
+TEST_CASE("heartbeats with a long transit time do not extend a lease",
           "[lease]") {
   LeaseWorld world(4, 2);
   world.run(milliseconds(2000));
@@ -132,24 +133,24 @@
   REQUIRE(first);
   auto &other =
       first == world.Hosts[0].get() ? *world.Hosts[1] : *world.Hosts[0];
-  auto tell = [&](Span remaining) {
+  auto sendHeartbeat = [&](Span remaining) {
     other.Lease->onHolderHeartbeat(first->Lease->version(), remaining);
   };
-  first->Cut = true;
+  first->Partitioned = true;
   world.run(LeaseStep);
   auto remaining = first->Lease->remaining();
-  tell(remaining);
-  // The same beat again and again, each held up for longer.
+  sendHeartbeat(remaining);
+  // The same heartbeat repeatedly, each time after a longer transit.
   while (first->Lease->mayOrder()) {
     world.run(LeaseStep);
-    tell(remaining);
+    sendHeartbeat(remaining);
   }
   world.run(Handover + milliseconds(250) + 4 * LeaseStep);
   CHECK(world.holder() == &other);
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("a lease that is given up can be taken at once", "[lease]") {
+TEST_CASE("a released lease can be taken at once", "[lease]") {
   LeaseWorld world(5);
   world.run(milliseconds(2000));
   auto *first = world.holder();
@@ -163,10 +164,10 @@
   CHECK(taken);
   world.run(milliseconds(3500));
   CHECK(world.holder());
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("a lease that is handed over goes to another host", "[lease]") {
+TEST_CASE("a lease that is handed over is taken by another host", "[lease]") {
   LeaseWorld world(9, 2);
   world.run(milliseconds(2000));
   auto *first = world.holder();
@@ -177,32 +178,31 @@
   auto *next = world.holder();
   REQUIRE(next);
   CHECK(next != first);
-  CHECK_FALSE(world.TooSoon);
-  SECTION("and comes back if that one goes") {
-    next->Frozen = true;
+  CHECK_FALSE(world.OrderedTooSoon);
+  SECTION("the first host takes it again if that one stops") {
+    next->Suspended = true;
     world.run(milliseconds(8000));
     CHECK(world.holder() == first);
-    CHECK_FALSE(world.TooSoon);
+    CHECK_FALSE(world.OrderedTooSoon);
   }
 }
 
-TEST_CASE("what another node tells of a lease is no ground to take it",
-          "[lease]") {
+TEST_CASE("a peer's report of a lease is no reason to take it", "[lease]") {
   LeaseWorld world(10, 1);
   auto &host = *world.Hosts[0];
-  host.Cut = true;
+  host.Partitioned = true;
   host.Lease->onPeerRow({"host-9", "host-9-1", "10.0.0.9:7", 4, false, true});
   world.run(milliseconds(10000));
   CHECK_FALSE(host.Lease->held());
   REQUIRE(host.Lease->row());
   CHECK(host.Lease->row()->Address == "10.0.0.9:7");
-  // The table knows better: nobody ever held it.
-  host.Cut = false;
+  // The table shows that nobody has ever held the lease.
+  host.Partitioned = false;
   world.run(milliseconds(3000));
   CHECK(host.Lease->held());
 }
 
-TEST_CASE("a process that starts again on the holder's host goes on",
+TEST_CASE("a restarted process on the holder's host keeps the lease",
           "[lease]") {
   LeaseWorld world(6);
   world.run(milliseconds(3000));
@@ -214,24 +214,25 @@
   CHECK(first->Lease->fence() == 2);
 }
 
-TEST_CASE("one that starts while it waited for its predecessor waits on",
-          "[lease]") {
+TEST_CASE(
+    "a holder that restarts while it waits for its predecessor goes on waiting",
+    "[lease]") {
   LeaseWorld world(7, 2);
   world.run(milliseconds(3000));
   auto *first = world.holder();
   REQUIRE(first);
   auto &other =
       first == world.Hosts[0].get() ? *world.Hosts[1] : *world.Hosts[0];
-  first->Frozen = true;
+  first->Suspended = true;
   while (!other.Lease->held())
     world.run(LeaseStep);
   other.restart();
   world.run(milliseconds(10000));
   CHECK(world.holder() == &other);
-  CHECK_FALSE(world.TooSoon);
+  CHECK_FALSE(world.OrderedTooSoon);
 }
 
-TEST_CASE("a row that reads as nothing counts as another's", "[lease]") {
+TEST_CASE("a row that cannot be parsed counts as another holder's", "[lease]") {
   LeaseWorld world(8, 1);
   world.Table.Rows["lease/hall-a"] = {"lease/hall-a", 5, "no lease row"};
   world.run(milliseconds(1000));
@@ -240,7 +241,8 @@
   CHECK(world.holder());
 }
 
-TEST_CASE("no two hosts order within the handover, whatever fails", "[lease]") {
+TEST_CASE("no two hosts order within the handover under random failures",
+          "[lease]") {
   REQUIRE(rc::check([] {
     auto seed = *rc::gen::arbitrary<std::uint64_t>();
     LeaseWorld world(seed);
@@ -256,21 +258,21 @@
     for (int it = 0; it < Rounds; ++it) {
       for (auto &host : world.Hosts) {
         if (chance(0.1))
-          host->Frozen = !host->Frozen;
+          host->Suspended = !host->Suspended;
         if (chance(0.1))
-          host->Cut = !host->Cut;
-        if (!host->Frozen && chance(0.05))
+          host->Partitioned = !host->Partitioned;
+        if (!host->Suspended && chance(0.05))
           host->restart();
-        if (!host->Frozen && chance(0.05))
+        if (!host->Suspended && chance(0.05))
           host->Lease->handOver();
       }
       world.Table.Down = chance(0.1);
       for (int step = 0; step < 10; ++step) {
         world.run(LeaseStep);
-        // Hosts that follow each other hear of leases, some late.
+        // Hosts receive each other's heartbeats, some of them late.
         for (auto &from : world.Hosts)
           for (auto &to : world.Hosts)
-            if (!from->Frozen && chance(0.3))
+            if (!from->Suspended && chance(0.3))
               world.Time.after(milliseconds(chance(0.2) ? 400 : 1),
                                [lease = to->Lease,
                                 version = from->Lease->version(),
@@ -281,8 +283,8 @@
                                });
       }
     }
-    RC_ASSERT(!world.TooSoon);
-    RC_ASSERT(!world.FenceFell);
+    RC_ASSERT(!world.OrderedTooSoon);
+    RC_ASSERT(!world.FenceNotIncreased);
   }));
 }
 
--- a/UnitTests/Coordination/Orders/CellLeaseWorld.h
+++ b/UnitTests/Coordination/Orders/CellLeaseWorld.h
@@ -11,7 +11,7 @@
 inline constexpr Span LeaseStep = milliseconds(50);
 inline constexpr Span Handover = milliseconds(3000);
 
-/// A host whose process looks after one cell's lease.
+/// A host whose process takes part in one cell's lease.
 class LeaseHost {
 public:
   LeaseHost(VirtualTime &time, FakeTable &table, std::string name)
@@ -19,14 +19,14 @@
     restart();
   }
 
-  /// A new process on the same host.
+  /// Replaces the process by a new one on the same host.
   void restart() {
     CellLease::Settings settings;
     settings.Holder = Name;
-    settings.Incarnation = Name + "-" + std::to_string(++Starts);
+    settings.Incarnation = Name + "-" + std::to_string(++StartCount);
     settings.Address = "10.0.0.1:7";
     settings.Handover = Handover;
-    settings.RenewEvery = milliseconds(600);
+    settings.RenewInterval = milliseconds(600);
     settings.Validity = milliseconds(1800);
     Alive = std::make_shared<bool>(true);
     Era = TableEra();
@@ -36,7 +36,7 @@
   }
 
   void tick() {
-    if (!Frozen)
+    if (!Suspended)
       Lease->tick(Span(0));
   }
 
@@ -44,17 +44,18 @@
   FakeTable &Table;
   std::string Name;
   std::shared_ptr<CellLease> Lease;
-  bool Frozen = false;
-  bool Cut = false;
+  bool Suspended = false;
+  bool Partitioned = false;
 
 private:
-  /// The table as this host reaches it: nothing comes through a cut.
+  /// The table as this host reaches it: no call passes while the host is
+  /// partitioned.
   TableHooks hooks() {
     auto inner = Table.hooks();
     TableHooks out;
     out.Era = [this] { return Era.era(); };
     out.Get = [this, inner](const std::string &key, auto done) {
-      if (Cut)
+      if (Partitioned)
         return fail(done);
       inner.Get(key, guard<std::optional<TableRow>>([this, done](auto result) {
                   if (result && *result)
@@ -63,17 +64,18 @@
                 }));
     };
     out.Commit = [this, inner](const TableTransaction &transaction, auto done) {
-      if (Cut)
+      if (Partitioned)
         return fail(done);
       auto own = Era.own(transaction.Writes.front().ExpectedVersion);
       if (!own)
         return fail(done, TableError::Conflict);
       auto sent = transaction;
       sent.Writes.front().ExpectedVersion = *own;
-      inner.Commit(sent, guard<std::uint64_t>([this, sentIn = Era.era(),
+      inner.Commit(sent, guard<std::uint64_t>([this, sentInEra = Era.era(),
                                                done](auto result) {
-                     // Its version may have meant another row by then.
-                     if (result && Era.era() != sentIn)
+                     // The expected version may have been another row's by
+                     // then.
+                     if (result && Era.era() != sentInEra)
                        return done(tl::unexpected(TableError::Ambiguous));
                      done(result.map([this](auto it) { return Era.wide(it); }));
                    }));
@@ -82,10 +84,10 @@
   }
 
   template <typename Done>
-  void fail(Done done, TableError how = TableError::NotSent) {
-    Time.after(milliseconds(20), [alive = Alive, done, how] {
+  void fail(Done done, TableError error = TableError::NotSent) {
+    Time.after(milliseconds(20), [alive = Alive, done, error] {
       if (*alive)
-        done(tl::unexpected(how));
+        done(tl::unexpected(error));
     });
   }
 
@@ -94,20 +96,21 @@
       if (!*alive)
         return;
       bool answered = result || result.error() == TableError::Conflict;
-      if (Cut || (answered && !Era.onAnswer(Table.AnsweredEra)))
+      if (Partitioned || (answered && !Era.onAnswer(Table.AnsweredEra)))
         return done(tl::unexpected(TableError::Ambiguous));
       done(std::move(result));
     };
   }
 
-  /// What this process has heard of the table's era.
+  /// The table's era as this process knows it.
   TableEra Era;
 
   std::shared_ptr<bool> Alive;
-  int Starts = 0;
+  int StartCount = 0;
 };
 
-/// Several hosts over one table, and a record of who could order when.
+/// Several hosts that share one table, and a record of which of them could
+/// order when.
 struct LeaseWorld {
   explicit LeaseWorld(std::uint64_t seed, int hosts = 3) : Table(Time, seed) {
     for (int it = 0; it < hosts; ++it)
@@ -116,7 +119,7 @@
   }
 
   void run(Span span) {
-    for (Span gone{0}; gone < span; gone += LeaseStep) {
+    for (Span elapsed{0}; elapsed < span; elapsed += LeaseStep) {
       Time.advance(LeaseStep);
       for (auto &it : Hosts)
         it->tick();
@@ -124,16 +127,17 @@
     }
   }
 
-  /// Every host that may order at this moment does.
+  /// Assumes that every host that may order at this moment does so.
   void check() {
     for (auto &it : Hosts) {
-      if (it->Frozen || !it->Lease->mayOrder())
+      if (it->Suspended || !it->Lease->mayOrder())
         continue;
       if (!LastHost.empty() && LastHost != it->Name) {
-        TooSoon = TooSoon || Time.now() - LastAt < Handover;
-        FenceFell = FenceFell || it->Lease->fence() <= LastFence;
+        OrderedTooSoon = OrderedTooSoon || Time.now() - LastAt < Handover;
+        FenceNotIncreased =
+            FenceNotIncreased || it->Lease->fence() <= LastFence;
       }
-      FenceFell = FenceFell || it->Lease->fence() < LastFence;
+      FenceNotIncreased = FenceNotIncreased || it->Lease->fence() < LastFence;
       LastHost = it->Name;
       LastFence = it->Lease->fence();
       LastAt = Time.now();
@@ -153,8 +157,8 @@
   std::string LastHost;
   Epoch LastFence = 0;
   Instant LastAt{};
-  bool TooSoon = false;
-  bool FenceFell = false;
+  bool OrderedTooSoon = false;
+  bool FenceNotIncreased = false;
 };
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Orders/CellPlacementTest.cpp
+++ b/UnitTests/Coordination/Orders/CellPlacementTest.cpp
@@ -16,10 +16,11 @@
 
 WeightsRef adapter(int n) { return {Model, "a" + std::to_string(n)}; }
 
-std::shared_ptr<const RoutePlan> planWith(std::uint32_t places, double rate) {
+std::shared_ptr<const RoutePlan> planWithSlots(std::uint32_t adapterSlots,
+                                               double rate) {
   EngineSpec engine;
   engine.Slots = 8;
-  engine.AdapterSlots = places;
+  engine.AdapterSlots = adapterSlots;
   engine.WeightsMb = 1000;
   engine.LoadsPerSecond = rate;
   engine.Models = {{Model, 900, std::chrono::seconds(5), {}, {}, 1}};
@@ -28,16 +29,16 @@
       1, std::vector<Route>{}, std::vector{service}, CallerLimits{});
 }
 
-/// An engine that obeys orders as the desk's engines do, or not.
+/// An engine that executes orders as real engines do.
 struct FakeEngine {
   ReplicaRecord Record;
   HeldWeights Held;
   std::uint64_t Count = 0;
-  std::uint32_t Places = 2;
+  std::uint32_t AdapterSlots = 2;
   bool Crashed = false;
-  std::size_t Loads = 0;
+  std::size_t LoadCount = 0;
 
-  OrderAnswer obey(const EngineOrder &order) {
+  OrderAnswer execute(const EngineOrder &order) {
     if (order.ExpectedCount != Count)
       return OrderAnswer::Conflict;
     bool holds = Held.contains(order.Weights);
@@ -50,19 +51,20 @@
     if (holds && (order.Version == 0 || Held[order.Weights] >= order.Version))
       return OrderAnswer::Holds;
     ++Count;
-    ++Loads;
+    ++LoadCount;
     Held[order.Weights] = order.Version;
     std::size_t adapters = 0;
     for (const auto &[weights, version] : Held)
       adapters += weights.Adapter.empty() ? 0 : 1;
-    Crashed = Crashed || adapters > Places;
+    Crashed = Crashed || adapters > AdapterSlots;
     return OrderAnswer::Accepted;
   }
 };
 
-struct DeskWorld {
-  explicit DeskWorld(int replicas, std::uint32_t places = 2, double rate = 3)
-      : Plan(planWith(places, rate)) {
+struct PlacementWorld {
+  explicit PlacementWorld(int replicas, std::uint32_t adapterSlots = 2,
+                          double rate = 3)
+      : Plan(planWithSlots(adapterSlots, rate)) {
     for (int it = 0; it < replicas; ++it) {
       FakeEngine engine;
       engine.Record.Incarnation = ReplicaIncarnation("i-" + std::to_string(it));
@@ -70,46 +72,48 @@
       engine.Record.Slots = 8;
       engine.Held[{Model, {}}] = 1;
       engine.Record.Held = engine.Held;
-      engine.Places = places;
+      engine.AdapterSlots = adapterSlots;
       Engines[engine.Record.Incarnation.text()] = engine;
     }
-    show();
+    updateReplicas();
   }
 
-  void show() {
+  void updateReplicas() {
     std::vector<ReplicaPtr> records;
     for (const auto &[id, it] : Engines)
       records.push_back(std::make_shared<const ReplicaRecord>(it.Record));
-    Desk.setReplicas(records, Plan, Now);
+    Placement.setReplicas(records, Plan, Now);
   }
 
-  /// Carries out what the desk wants; `lose` says whether an order's answer is
-  /// lost, with 2 also the order.
-  std::size_t round(const std::function<int()> &lose = [] { return 0; }) {
-    auto actions = Desk.plan(true, Now);
+  /// Executes the planned actions. `outcome` returns what happens to each
+  /// order: 0 for an answer, 1 for a lost answer, 2 for a lost order, which may
+  /// be executed late.
+  std::size_t runRound(const std::function<int()> &outcome = [] { return 0; }) {
+    auto actions = Placement.plan(true, Now);
     for (const auto &it : actions) {
       auto &engine = Engines[it.Replica];
       if (it.Type == PlacementAction::Kind::Report) {
-        Desk.onReport(it.Replica,
-                      HoldingsReport{engine.Held, {}, false, engine.Count, {}},
-                      Now);
+        Placement.onReport(
+            it.Replica,
+            HoldingsReport{engine.Held, {}, false, engine.Count, {}}, Now);
         continue;
       }
-      auto how = lose();
-      auto answer = how == 2 ? OrderAnswer::Unknown : engine.obey(it.Order);
-      if (how == 2)
-        Late.emplace_back(it.Replica, it.Order);
-      Desk.onOrderAnswer(it.Replica, it.Order,
-                         how ? OrderAnswer::Unknown : answer, Now);
+      auto result = outcome();
+      auto answer =
+          result == 2 ? OrderAnswer::Unknown : engine.execute(it.Order);
+      if (result == 2)
+        LateOrders.emplace_back(it.Replica, it.Order);
+      Placement.onOrderAnswer(it.Replica, it.Order,
+                              result ? OrderAnswer::Unknown : answer, Now);
     }
     return actions.size();
   }
 
-  void rounds(
-      int n, const std::function<int()> &lose = [] { return 0; }) {
+  void runRounds(
+      int n, const std::function<int()> &outcome = [] { return 0; }) {
     for (int it = 0; it < n; ++it) {
       Now += milliseconds(50);
-      round(lose);
+      runRound(outcome);
     }
   }
 
@@ -123,94 +127,96 @@
   Instant Now = std::chrono::seconds(1000);
   std::shared_ptr<const RoutePlan> Plan;
   std::map<std::string, FakeEngine> Engines;
-  CellPlacement Desk{CellPlacement::Settings{}};
-  std::vector<std::pair<std::string, EngineOrder>> Late;
+  CellPlacement Placement{CellPlacement::Settings{}};
+  std::vector<std::pair<std::string, EngineOrder>> LateOrders;
 };
 
 } // namespace
 
-TEST_CASE("an adapter that requests wait for is loaded once", "[desk]") {
-  DeskWorld world(3);
-  world.rounds(2);
+TEST_CASE("an adapter that several requests wait for is loaded once",
+          "[desk]") {
+  PlacementWorld world(3);
+  world.runRounds(2);
   for (int it = 0; it < 5; ++it)
-    world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(10);
+    world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(10);
   CHECK(world.copies(adapter(1)) == 1);
 }
 
-TEST_CASE("requests that wait get one copy also where a place is made first",
+TEST_CASE("waiting requests get one copy even if a slot must be freed first",
           "[desk]") {
-  DeskWorld world(3, 1);
-  world.rounds(2);
+  PlacementWorld world(3, 1);
+  world.runRounds(2);
   for (int n = 1; n <= 3; ++n)
-    world.Desk.onWaiting(Service, adapter(n), world.Now);
-  world.rounds(20);
+    world.Placement.onWaiting(Service, adapter(n), world.Now);
+  world.runRounds(20);
   world.Now += std::chrono::seconds(10);
   for (int it = 0; it < 5; ++it) {
-    world.Desk.onWaiting(Service, adapter(9), world.Now);
-    world.rounds(1);
+    world.Placement.onWaiting(Service, adapter(9), world.Now);
+    world.runRounds(1);
   }
-  world.rounds(10);
+  world.runRounds(10);
   CHECK(world.copies(adapter(9)) == 1);
   for (const auto &[id, engine] : world.Engines)
     CHECK_FALSE(engine.Crashed);
 }
 
-TEST_CASE("nothing is ordered without the right to", "[desk]") {
-  DeskWorld world(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  CHECK(world.Desk.plan(false, world.Now).empty());
+TEST_CASE("nothing is ordered without the right to order", "[desk]") {
+  PlacementWorld world(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  CHECK(world.Placement.plan(false, world.Now).empty());
 }
 
-TEST_CASE("what is wanted least makes room", "[desk]") {
-  DeskWorld world(1, 2);
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.Desk.onWaiting(Service, adapter(2), world.Now);
-  world.rounds(10);
+TEST_CASE("the adapter in least demand is dropped for a new one", "[desk]") {
+  PlacementWorld world(1, 2);
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.Placement.onWaiting(Service, adapter(2), world.Now);
+  world.runRounds(10);
   for (int it = 0; it < 20; ++it)
-    world.Desk.onDemand(Service, adapter(1), 1, world.Now);
-  world.Desk.onDemand(Service, adapter(2), 1, world.Now);
+    world.Placement.onDemand(Service, adapter(1), 1, world.Now);
+  world.Placement.onDemand(Service, adapter(2), 1, world.Now);
   world.Now += std::chrono::seconds(4);
-  world.Desk.onWaiting(Service, adapter(3), world.Now);
-  world.rounds(10);
+  world.Placement.onWaiting(Service, adapter(3), world.Now);
+  world.runRounds(10);
   CHECK(world.copies(adapter(1)) == 1);
   CHECK(world.copies(adapter(2)) == 0);
   CHECK(world.copies(adapter(3)) == 1);
 }
 
-TEST_CASE("an adapter goes back to the replica that dropped it", "[desk]") {
-  DeskWorld world(4, 1);
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(10);
-  std::string first;
+TEST_CASE("an adapter is loaded again on the replica that dropped it",
+          "[desk]") {
+  PlacementWorld world(4, 1);
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(10);
+  std::string firstReplica;
   for (const auto &[id, it] : world.Engines)
     if (it.Held.contains(adapter(1)))
-      first = id;
-  REQUIRE_FALSE(first.empty());
+      firstReplica = id;
+  REQUIRE_FALSE(firstReplica.empty());
   for (int n = 2; n <= 5; ++n) {
     world.Now += std::chrono::seconds(3);
-    world.Desk.onWaiting(Service, adapter(n), world.Now);
-    world.rounds(10);
+    world.Placement.onWaiting(Service, adapter(n), world.Now);
+    world.runRounds(10);
   }
   REQUIRE(world.copies(adapter(1)) == 0);
   world.Now += std::chrono::seconds(5);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(10);
-  CHECK(world.Engines[first].Held.contains(adapter(1)));
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(10);
+  CHECK(world.Engines[firstReplica].Held.contains(adapter(1)));
 }
 
 TEST_CASE("a newer version gets a copy beside the older one", "[desk]") {
-  DeskWorld world(2);
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(10);
-  world.Desk.setVersion(adapter(1), 7);
-  // So few that one copy is enough for them.
-  world.Desk.onDemand(Service, adapter(1), 2, world.Now);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(10);
+  PlacementWorld world(2);
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(10);
+  world.Placement.setVersion(adapter(1), 7);
+  // Few enough requests for one copy.
+  world.Placement.onDemand(Service, adapter(1), 2, world.Now);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(10);
   std::size_t newer = 0;
   for (const auto &[id, it] : world.Engines) {
     auto held = it.Held.find(adapter(1));
@@ -219,91 +225,94 @@
   CHECK(newer == 1);
 }
 
-TEST_CASE("demand that jumps gets its copies within a second", "[desk]") {
-  DeskWorld world(4);
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  // Fourteen requests a second, from none before.
+TEST_CASE("a jump in demand gets its copies within a second", "[desk]") {
+  PlacementWorld world(4);
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  // The rate jumps from none to fourteen requests a second.
   for (int it = 0; it < 14; ++it) {
-    world.Desk.onDemand(Service, adapter(1), 1, world.Now);
-    world.rounds(1);
+    world.Placement.onDemand(Service, adapter(1), 1, world.Now);
+    world.runRounds(1);
     world.Now += milliseconds(21);
   }
   CHECK(world.copies(adapter(1)) >= 3);
 }
 
-TEST_CASE("what presses for a moment does not get all engines", "[desk]") {
-  DeskWorld world(6);
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
+TEST_CASE("a short congestion does not put an adapter on all engines",
+          "[desk]") {
+  PlacementWorld world(6);
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
   for (int it = 0; it < 30; ++it) {
     if (it % 15 == 0)
-      world.Desk.onDemand(Service, adapter(1), 1, world.Now);
-    world.Desk.onCongested(Service, adapter(1), world.Now);
-    world.rounds(1);
+      world.Placement.onDemand(Service, adapter(1), 1, world.Now);
+    world.Placement.onCongested(Service, adapter(1), world.Now);
+    world.runRounds(1);
   }
   CHECK(world.copies(adapter(1)) == 1);
 }
 
-TEST_CASE("what nobody waits for any more is not loaded", "[desk]") {
-  DeskWorld world(1, 2);
-  world.rounds(2);
+TEST_CASE("an adapter that no request waits for any more is not loaded",
+          "[desk]") {
+  PlacementWorld world(1, 2);
+  world.runRounds(2);
   for (int it = 1; it <= 2; ++it)
-    world.Desk.onWaiting(Service, adapter(it), world.Now);
-  world.rounds(4);
-  // Both places are in use, so that nothing can be loaded.
+    world.Placement.onWaiting(Service, adapter(it), world.Now);
+  world.runRounds(4);
+  // Both slots are in use, so that nothing can be loaded.
   for (int it = 1; it <= 2; ++it)
-    world.Desk.onUse("i-0", adapter(it), 1);
-  world.Desk.onWaiting(Service, adapter(3), world.Now);
-  world.rounds(20);
+    world.Placement.onUse("i-0", adapter(it), 1);
+  world.Placement.onWaiting(Service, adapter(3), world.Now);
+  world.runRounds(20);
   for (int it = 1; it <= 2; ++it)
-    world.Desk.onUse("i-0", adapter(it), -1);
-  world.rounds(10);
+    world.Placement.onUse("i-0", adapter(it), -1);
+  world.runRounds(10);
   CHECK(world.copies(adapter(3)) == 0);
-  world.Desk.onWaiting(Service, adapter(3), world.Now);
-  world.rounds(10);
+  world.Placement.onWaiting(Service, adapter(3), world.Now);
+  world.runRounds(10);
   CHECK(world.copies(adapter(3)) == 1);
 }
 
-TEST_CASE("loads on their way over all cells are bounded", "[desk]") {
-  DeskWorld world(6, 20);
-  world.rounds(2);
-  world.Desk.setLoadingElsewhere(6);
+TEST_CASE("loads in progress over all cells are limited", "[desk]") {
+  PlacementWorld world(6, 20);
+  world.runRounds(2);
+  world.Placement.setLoadingElsewhere(6);
   for (int n = 0; n < 30; ++n)
-    world.Desk.onWaiting(Service, adapter(n), world.Now);
+    world.Placement.onWaiting(Service, adapter(n), world.Now);
   world.Now += milliseconds(50);
-  world.round();
+  world.runRound();
   std::size_t loads = 0;
   for (const auto &[id, it] : world.Engines)
-    loads += it.Loads;
+    loads += it.LoadCount;
   CHECK(loads == 2);
 }
 
-TEST_CASE("a faster weight store gets more loads at once", "[desk]") {
-  DeskWorld world(24, 20, 40);
-  world.rounds(2);
+TEST_CASE("a faster weight store allows more concurrent loads", "[desk]") {
+  PlacementWorld world(24, 20, 40);
+  world.runRounds(2);
   for (int n = 0; n < 200; ++n)
-    world.Desk.onWaiting(Service, adapter(n), world.Now);
-  world.rounds(4);
+    world.Placement.onWaiting(Service, adapter(n), world.Now);
+  world.runRounds(4);
   std::size_t loads = 0;
   for (const auto &[id, it] : world.Engines)
-    loads += it.Loads;
+    loads += it.LoadCount;
   CHECK(loads == 96);
 }
 
-TEST_CASE("an engine that does not answer is left alone for a while",
-          "[desk]") {
-  DeskWorld world(2);
-  world.rounds(2);
+TEST_CASE(
+    "an engine that does not answer an order is sent none during a backoff",
+    "[desk]") {
+  PlacementWorld world(2);
+  world.runRounds(2);
   std::size_t orders = 0;
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
   constexpr int Rounds = 500;
   for (int it = 0; it < Rounds; ++it) {
     world.Now += milliseconds(2);
-    world.Desk.onWaiting(Service, adapter(1), world.Now);
-    orders += world.round([] { return 2; });
+    world.Placement.onWaiting(Service, adapter(1), world.Now);
+    orders += world.runRound([] { return 2; });
   }
-  // Two engines, a second: rests of 40, 80, 160, 320 and 640 ms.
+  // Two engines in one second, with backoffs of 40, 80, 160, 320 and 640 ms.
   CHECK(orders >= 6);
   CHECK(orders <= 12);
 }
@@ -317,7 +326,7 @@
   return out;
 }
 
-std::size_t reports(const std::vector<PlacementAction> &actions) {
+std::size_t reportCount(const std::vector<PlacementAction> &actions) {
   return static_cast<std::size_t>(
       std::count_if(actions.begin(), actions.end(), [](const auto &it) {
         return it.Type == PlacementAction::Kind::Report;
@@ -326,90 +335,94 @@
 
 } // namespace
 
-TEST_CASE("unloads in a row do not put off the look at the first", "[desk]") {
-  constexpr std::uint32_t Places = 4;
-  DeskWorld world(1, Places);
+TEST_CASE("consecutive unloads do not delay the check of the first", "[desk]") {
+  constexpr std::uint32_t AdapterSlots = 4;
+  PlacementWorld world(1, AdapterSlots);
   for (int n = 1; n <= 4; ++n)
     world.Engines["i-0"].Held[adapter(n)] = 1;
-  world.rounds(2);
-  REQUIRE(world.Desk.residency("i-0").contains(adapter(4)));
-  // The engine lets each go once its requests are over.
+  world.runRounds(2);
+  REQUIRE(world.Placement.residency("i-0").contains(adapter(4)));
+  // The engine drops each once its requests have ended.
   auto unload = [&world](int n) {
-    world.Desk.onOrderAnswer("i-0", orderFor(OrderKind::Unload, adapter(n)),
-                             OrderAnswer::Accepted, world.Now);
+    world.Placement.onOrderAnswer("i-0",
+                                  orderFor(OrderKind::Unload, adapter(n)),
+                                  OrderAnswer::Accepted, world.Now);
   };
-  std::size_t looks = 0;
+  std::size_t reportRequests = 0;
   for (int n = 1; n <= 4; ++n) {
     unload(n);
     world.Now += milliseconds(200);
-    looks += reports(world.Desk.plan(true, world.Now));
+    reportRequests += reportCount(world.Placement.plan(true, world.Now));
   }
-  CHECK(looks > 0);
+  CHECK(reportRequests > 0);
 }
 
-TEST_CASE("an engine that says nothing of what leaves it is left alone for a "
-          "while",
+TEST_CASE("an engine that does not report on an eviction is not asked during a "
+          "backoff",
           "[desk]") {
-  DeskWorld world(1);
+  PlacementWorld world(1);
   world.Engines["i-0"].Held[adapter(1)] = 1;
-  world.rounds(2);
-  world.Desk.onOrderAnswer("i-0", orderFor(OrderKind::Unload, adapter(1)),
-                           OrderAnswer::Accepted, world.Now);
+  world.runRounds(2);
+  world.Placement.onOrderAnswer("i-0", orderFor(OrderKind::Unload, adapter(1)),
+                                OrderAnswer::Accepted, world.Now);
   world.Now += milliseconds(400);
-  std::size_t asked = 0;
+  std::size_t reportRequests = 0;
   for (int it = 0; it < 50; ++it) {
     world.Now += milliseconds(2);
-    auto n = reports(world.Desk.plan(true, world.Now));
-    asked += n;
+    auto n = reportCount(world.Placement.plan(true, world.Now));
+    reportRequests += n;
     if (n)
-      world.Desk.onReport("i-0", std::nullopt, world.Now);
+      world.Placement.onReport("i-0", std::nullopt, world.Now);
   }
-  // In 100 ms, with rests of 40 and 80 ms.
-  CHECK(asked >= 2);
-  CHECK(asked <= 3);
+  // In 100 ms, with backoffs of 40 and 80 ms.
+  CHECK(reportRequests >= 2);
+  CHECK(reportRequests <= 3);
 }
 
-TEST_CASE("a base model's load does not put off the look at missing weights",
+TEST_CASE("a base model's load does not delay the check for missing weights",
           "[desk]") {
-  DeskWorld world(1);
+  PlacementWorld world(1);
   world.Engines["i-0"].Held[adapter(1)] = 1;
-  world.rounds(2);
-  REQUIRE(world.Desk.residency("i-0").contains(adapter(1)));
-  // It turns out while the answer to the load is on its way.
-  world.Desk.onMissing("i-0", adapter(1), world.Now);
-  world.Desk.onOrderAnswer("i-0", orderFor(OrderKind::Load, {Model, {}}),
-                           OrderAnswer::Accepted, world.Now);
+  world.runRounds(2);
+  REQUIRE(world.Placement.residency("i-0").contains(adapter(1)));
+  // The weights are found missing before the answer to the load has arrived.
+  world.Placement.onMissing("i-0", adapter(1), world.Now);
+  world.Placement.onOrderAnswer("i-0", orderFor(OrderKind::Load, {Model, {}}),
+                                OrderAnswer::Accepted, world.Now);
   world.Now += milliseconds(50);
-  CHECK(reports(world.Desk.plan(true, world.Now)) == 1);
+  CHECK(reportCount(world.Placement.plan(true, world.Now)) == 1);
 }
 
-TEST_CASE("no replica is told to hold more than its places, whatever is lost",
+TEST_CASE("no replica is ordered to hold more adapters than it has slots, "
+          "whatever is lost",
           "[desk]") {
   REQUIRE(rc::check([] {
     auto seed = *rc::gen::arbitrary<std::uint64_t>();
     std::mt19937_64 random(seed);
-    auto upTo = [&random](int n) {
+    auto randomBelow = [&random](int n) {
       return static_cast<int>(random() % static_cast<std::uint64_t>(n));
     };
-    DeskWorld world(3, 3);
+    PlacementWorld world(3, 3);
     constexpr int Rounds = 200;
     constexpr int Adapters = 12;
     for (int it = 0; it < Rounds; ++it) {
-      world.Desk.onDemand(Service, adapter(upTo(Adapters)), 1, world.Now);
-      world.Desk.onWaiting(Service, adapter(upTo(Adapters)), world.Now);
-      world.rounds(1, [&] {
-        constexpr int Often = 10;
-        auto n = upTo(Often);
+      world.Placement.onDemand(Service, adapter(randomBelow(Adapters)), 1,
+                               world.Now);
+      world.Placement.onWaiting(Service, adapter(randomBelow(Adapters)),
+                                world.Now);
+      world.runRounds(1, [&] {
+        constexpr int OutcomeCount = 10;
+        auto n = randomBelow(OutcomeCount);
         return n < 7 ? 0 : (n < 9 ? 1 : 2);
       });
-      // An order without an answer may be carried out much later.
-      if (!world.Late.empty() && upTo(4) == 0) {
-        auto [replica, order] = world.Late.front();
-        world.Late.erase(world.Late.begin());
-        world.Engines[replica].obey(order);
+      // An order without an answer may be executed much later.
+      if (!world.LateOrders.empty() && randomBelow(4) == 0) {
+        auto [replica, order] = world.LateOrders.front();
+        world.LateOrders.erase(world.LateOrders.begin());
+        world.Engines[replica].execute(order);
       }
-      if (upTo(20) == 0)
-        world.Now += std::chrono::seconds(upTo(5));
+      if (randomBelow(20) == 0)
+        world.Now += std::chrono::seconds(randomBelow(5));
     }
     for (const auto &[id, engine] : world.Engines)
       RC_ASSERT(!engine.Crashed);
@@ -418,8 +431,10 @@
 
 namespace {
 
-/// The engine starts again under its id and holds what it held, if anything.
-void restart(DeskWorld &world, const std::string &key, std::uint64_t startMs) {
+/// Restarts an engine under the same id and a new start time. It holds only the
+/// base model afterwards.
+void restart(PlacementWorld &world, const std::string &key,
+             std::uint64_t startMs) {
   auto engine = world.Engines.at(key);
   world.Engines.erase(key);
   engine.Record.Incarnation =
@@ -432,72 +447,74 @@
 
 } // namespace
 
-TEST_CASE("books end with an engine's life", "[desk][life]") {
-  DeskWorld world(1);
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(4);
-  CHECK(world.Desk.residency("i-0").contains(adapter(1)));
+TEST_CASE("a replica's state is discarded when its incarnation ends",
+          "[desk][life]") {
+  PlacementWorld world(1);
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(4);
+  CHECK(world.Placement.residency("i-0").contains(adapter(1)));
   restart(world, "i-0", 2000);
-  world.show();
-  CHECK_FALSE(world.Desk.residency("i-0#2000").contains(adapter(1)));
-  CHECK(world.Desk.residency("i-0").empty());
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(4);
+  world.updateReplicas();
+  CHECK_FALSE(world.Placement.residency("i-0#2000").contains(adapter(1)));
+  CHECK(world.Placement.residency("i-0").empty());
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(4);
   CHECK(world.Engines.at("i-0#2000").Held.contains(adapter(1)));
 }
 
-TEST_CASE("a report of another start leaves the books alone", "[desk][life]") {
-  DeskWorld world(1);
+TEST_CASE("a report of another incarnation does not change a replica's state",
+          "[desk][life]") {
+  PlacementWorld world(1);
   restart(world, "i-0", 1000);
-  world.show();
-  world.rounds(2);
-  world.Desk.onWaiting(Service, adapter(1), world.Now);
-  world.rounds(4);
+  world.updateReplicas();
+  world.runRounds(2);
+  world.Placement.onWaiting(Service, adapter(1), world.Now);
+  world.runRounds(4);
   HoldingsReport other{{{{Model, {}}, 1}}, {}, false, 7, {}, 0};
-  SECTION("of an earlier one: a new report is asked for") {
+  SECTION("an earlier incarnation: a new report is requested") {
     other.StartedAtMs = 500;
-    world.Desk.onReport("i-0#1000", other, world.Now);
-    CHECK(world.Desk.residency("i-0#1000").contains(adapter(1)));
-    world.Desk.onWaiting(Service, adapter(2), world.Now);
-    world.rounds(12);
+    world.Placement.onReport("i-0#1000", other, world.Now);
+    CHECK(world.Placement.residency("i-0#1000").contains(adapter(1)));
+    world.Placement.onWaiting(Service, adapter(2), world.Now);
+    world.runRounds(12);
     CHECK(world.Engines.at("i-0#1000").Held.contains(adapter(2)));
   }
-  SECTION("of a later one: nothing more is ordered until it is registered") {
+  SECTION("a later incarnation: nothing is ordered until it is registered") {
     other.StartedAtMs = 2000;
-    world.Desk.onReport("i-0#1000", other, world.Now);
-    world.Desk.onWaiting(Service, adapter(2), world.Now);
-    world.rounds(12);
+    world.Placement.onReport("i-0#1000", other, world.Now);
+    world.Placement.onWaiting(Service, adapter(2), world.Now);
+    world.runRounds(12);
     CHECK_FALSE(world.Engines.at("i-0#1000").Held.contains(adapter(2)));
     restart(world, "i-0#1000", 2000);
-    world.show();
-    world.rounds(4);
+    world.updateReplicas();
+    world.runRounds(4);
     CHECK(world.Engines.at("i-0#2000").Held.contains(adapter(2)));
   }
 }
 
-TEST_CASE("orders to a former start that are carried out late never fill an "
-          "engine beyond its places",
-          "[desk][life]") {
+TEST_CASE(
+    "late orders to a former incarnation never fill an engine beyond its slots",
+    "[desk][life]") {
   bool held = rc::check([] {
-    DeskWorld world(2);
-    auto draw = [](int most) { return *rc::gen::inRange(0, most); };
+    PlacementWorld world(2);
+    auto randomInt = [](int bound) { return *rc::gen::inRange(0, bound); };
     std::uint64_t startMs = 1000;
     for (int step = 0; step < 60; ++step) {
-      world.Desk.onWaiting(Service, adapter(draw(9)), world.Now);
+      world.Placement.onWaiting(Service, adapter(randomInt(9)), world.Now);
       world.Now += milliseconds(50);
-      world.round([&draw] { return draw(4) == 0 ? 2 : 0; });
-      if (draw(8) == 0) {
+      world.runRound([&randomInt] { return randomInt(4) == 0 ? 2 : 0; });
+      if (randomInt(8) == 0) {
         restart(world, world.Engines.begin()->first, startMs += 1000);
-        world.show();
+        world.updateReplicas();
       }
-      if (draw(4) != 0)
+      if (randomInt(4) != 0)
         continue;
-      for (auto &[key, order] : std::exchange(world.Late, {}))
+      for (auto &[key, order] : std::exchange(world.LateOrders, {}))
         for (auto &[now, engine] : world.Engines)
-          // The id is all that an engine compares.
+          // Engines compare only the id.
           if (engine.Record.Incarnation.id() == key.substr(0, key.find('#')))
-            engine.obey(order);
+            engine.execute(order);
     }
     for (const auto &[key, engine] : world.Engines)
       RC_ASSERT(!engine.Crashed);
--- a/UnitTests/Coordination/Orders/HoldingsLogTest.cpp
+++ b/UnitTests/Coordination/Orders/HoldingsLogTest.cpp
@@ -9,13 +9,13 @@
 
 WeightsRef adapter(int n) { return {"m", "a" + std::to_string(n)}; }
 
-/// What a node knows that takes each change on top of those before.
+/// A node's view, to which each received change is applied in turn.
 struct Follower {
   std::map<std::string, Residency> Known;
-  std::uint64_t Told = 0;
+  std::uint64_t Revision = 0;
 
-  void hear(const HoldingsLog &log) {
-    for (const auto &it : log.since(Told)) {
+  void receive(const HoldingsLog &log) {
+    for (const auto &it : log.since(Revision)) {
       auto &held = Known[it.Replica];
       if (it.Complete)
         held.clear();
@@ -24,13 +24,13 @@
       for (const auto &weights : it.Dropped)
         held.erase(weights);
     }
-    Told = log.revision();
+    Revision = log.revision();
   }
 };
 
 } // namespace
 
-TEST_CASE("a node is told only what has changed", "[holdings]") {
+TEST_CASE("a node receives only what has changed", "[holdings]") {
   HoldingsLog log;
   CHECK(log.update("i-1", {{adapter(1), {1, {}, false}}}));
   log.commit();
@@ -48,14 +48,14 @@
   CHECK(next[0].Held.size() == 1);
   CHECK(next[0].Held.contains(adapter(2)));
   CHECK(next[0].Dropped == std::vector<WeightsRef>{adapter(1)});
-  // Who joins now hears all that is held, and nothing of what was dropped.
+  // A node that joins now receives all that is held, and nothing of what was
+  // dropped.
   auto all = log.since(0);
   CHECK(all[0].Complete);
   CHECK(all[0].Dropped.empty());
 }
 
-TEST_CASE("an entry that a node may have struck out is told again",
-          "[holdings]") {
+TEST_CASE("an entry that a node may have removed is sent again", "[holdings]") {
   HoldingsLog log;
   log.update("i-1", {{adapter(1), {1, {}, false}}});
   log.commit();
@@ -69,35 +69,36 @@
   CHECK(again[0].Dropped.empty());
 }
 
-TEST_CASE("nodes that hear now and then know what the owner knows",
+TEST_CASE("nodes that receive updates irregularly have the owner's state",
           "[holdings]") {
   bool held = rc::check([] {
     HoldingsLog log({3});
-    std::map<std::string, Residency> truth;
+    std::map<std::string, Residency> expected;
     std::vector<Follower> followers(3);
-    auto draw = [](int most) { return *rc::gen::inRange(0, most); };
+    auto randomInt = [](int bound) { return *rc::gen::inRange(0, bound); };
     for (int step = 0; step < 80; ++step) {
-      auto replica = "i-" + std::to_string(draw(3));
-      auto weights = adapter(draw(9));
-      if (draw(10) == 0)
-        truth.erase(replica);
-      else if (draw(2) == 0)
-        truth[replica].erase(weights);
+      auto replica = "i-" + std::to_string(randomInt(3));
+      auto weights = adapter(randomInt(9));
+      if (randomInt(10) == 0)
+        expected.erase(replica);
+      else if (randomInt(2) == 0)
+        expected[replica].erase(weights);
       else
-        truth[replica][weights] = {std::uint64_t(draw(3)), {}, draw(2) == 0};
+        expected[replica][weights] = {
+            std::uint64_t(randomInt(3)), {}, randomInt(2) == 0};
       std::set<std::string> names;
-      for (const auto &[name, all] : truth)
+      for (const auto &[name, all] : expected)
         names.insert(name);
       log.keepOnly(names);
-      for (const auto &[name, all] : truth)
+      for (const auto &[name, all] : expected)
         log.update(name, all);
       log.commit();
-      auto &follower = followers[draw(3)];
-      if (draw(15) == 0)
+      auto &follower = followers[randomInt(3)];
+      if (randomInt(15) == 0)
         follower = {};
-      follower.hear(log);
-      // A replica that is gone is another part's news.
-      for (const auto &[name, all] : truth)
+      follower.receive(log);
+      // Removed replicas are reported elsewhere.
+      for (const auto &[name, all] : expected)
         RC_ASSERT(follower.Known[name] == all);
     }
   });
--- a/UnitTests/Coordination/Orders/LoadConcurrencyTest.cpp
+++ b/UnitTests/Coordination/Orders/LoadConcurrencyTest.cpp
@@ -9,48 +9,48 @@
 
 using std::chrono::milliseconds;
 
-/// Loads wait all the time; they come late while more are on their way than the
-/// store serves at full speed.
-double settled(double atFullSpeed) {
-  LoadConcurrency pace({});
-  pace.setRate(5);
+/// Returns the mean limit when loads are always delayed and are late whenever
+/// more are in progress than the store serves at full speed.
+double settledLimit(double atFullSpeed) {
+  LoadConcurrency concurrency({});
+  concurrency.setRate(5);
   Instant now = std::chrono::seconds(100);
   double sum = 0;
   constexpr int Steps = 600;
   for (int it = 0; it < 2 * Steps; ++it) {
     now += milliseconds(100);
-    pace.onLoadDelayed(now);
-    if (double(pace.limit()) > atFullSpeed)
-      pace.onLate(now);
-    sum += it < Steps ? 0 : double(pace.limit());
+    concurrency.onLoadDelayed(now);
+    if (double(concurrency.limit()) > atFullSpeed)
+      concurrency.onLate(now);
+    sum += it < Steps ? 0 : double(concurrency.limit());
   }
   return sum / Steps;
 }
 
 } // namespace
 
-TEST_CASE("the number of loads at once settles near what the store serves",
+TEST_CASE("the load limit settles near what the store serves at full speed",
           "[load-pace]") {
-  CHECK(std::abs(settled(10) - 10) < 1.5);
-  CHECK(std::abs(settled(15) - 15) < 1.5);
+  CHECK(std::abs(settledLimit(10) - 10) < 1.5);
+  CHECK(std::abs(settledLimit(15) - 15) < 1.5);
 }
 
-TEST_CASE("the number of loads at once is learnt within bounds",
-          "[load-pace]") {
-  CHECK(settled(1) >= 9);
-  CHECK(settled(1000) <= 18);
+TEST_CASE("the learnt load limit stays within its bounds", "[load-pace]") {
+  CHECK(settledLimit(1) >= 9);
+  CHECK(settledLimit(1000) <= 18);
 }
 
-TEST_CASE("nothing is learnt while no load waits", "[load-pace]") {
-  LoadConcurrency pace({});
-  pace.setRate(5);
-  CHECK(pace.limit() == 12);
-  pace.onLoadDelayed(std::chrono::seconds(10));
-  // A pause is no time in which loads waited.
-  pace.onLoadDelayed(std::chrono::seconds(1000));
-  CHECK(pace.limit() == 12);
-  pace.setRate(10);
-  CHECK(pace.limit() == 24);
+TEST_CASE("the load limit does not change while no load is delayed",
+          "[load-pace]") {
+  LoadConcurrency concurrency({});
+  concurrency.setRate(5);
+  CHECK(concurrency.limit() == 12);
+  concurrency.onLoadDelayed(std::chrono::seconds(10));
+  // Loads are not delayed during a pause.
+  concurrency.onLoadDelayed(std::chrono::seconds(1000));
+  CHECK(concurrency.limit() == 12);
+  concurrency.setRate(10);
+  CHECK(concurrency.limit() == 24);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Orders/ModelLoadRateTest.cpp
+++ b/UnitTests/Coordination/Orders/ModelLoadRateTest.cpp
@@ -19,27 +19,27 @@
 constexpr auto Step = milliseconds(50);
 constexpr auto Window = seconds(5);
 
-/// An engine that may hold one base model.
+/// An engine with room for one base model.
 struct Engine {
   ReplicaRecord Record;
   bool Holds = false;
   /// Its host has a copy on disk.
   bool HasCopy = false;
   std::uint64_t Count = 0;
-  /// Being loaded until then.
+  /// The base model is being loaded until this time.
   std::optional<Instant> LoadsUntil;
 };
 
-/// A cell, its desk and whether the desk's owner may order.
+/// A cell, its owner's placement and from when on that owner may order.
 struct Cell {
-  std::unique_ptr<CellPlacement> Desk;
+  std::unique_ptr<CellPlacement> Placement;
   std::map<std::string, Engine> Engines;
   Instant OrdersFrom{};
   int Generation = 0;
 };
 
-/// Several cells whose engines start empty; owners hear of loads elsewhere
-/// late, change, and engines come back empty.
+/// Several cells whose engines start empty. Owners receive loads elsewhere
+/// late, owners change, and engines are replaced by empty ones.
 struct LoadWorld {
   LoadWorld(std::uint64_t seed, std::uint32_t cells, int engines, double rate)
       : Random(seed), Rate(rate) {
@@ -60,13 +60,13 @@
     }
   }
 
-  std::uint64_t upTo(std::uint64_t n) { return Random() % n; }
+  std::uint64_t randomBelow(std::uint64_t n) { return Random() % n; }
 
   void newOwner(std::uint32_t cell) {
     CellPlacement::Settings settings;
     settings.CellCount = static_cast<std::uint32_t>(Cells.size());
     settings.CellIndex = cell;
-    Cells[cell].Desk = std::make_unique<CellPlacement>(settings);
+    Cells[cell].Placement = std::make_unique<CellPlacement>(settings);
   }
 
   void addEngine(Cell &cell, bool hasCopy = false) {
@@ -79,43 +79,43 @@
     cell.Engines[engine.Record.Incarnation.text()] = engine;
   }
 
-  std::size_t underWay(const Cell &cell) const {
+  std::size_t loadingCount(const Cell &cell) const {
     return static_cast<std::size_t>(std::count_if(
         cell.Engines.begin(), cell.Engines.end(),
         [](const auto &it) { return it.second.LoadsUntil.has_value(); }));
   }
 
-  void trouble() {
-    constexpr std::uint64_t Rarely = 40;
+  void injectFailures() {
+    constexpr std::uint64_t FailurePeriod = 40;
     for (std::uint32_t it = 0; it < Cells.size(); ++it) {
       auto &cell = Cells[it];
-      if (upTo(Rarely * 5) == 0) {
-        // The owner changes: the next may order after the handover.
+      if (randomBelow(FailurePeriod * 5) == 0) {
+        // The owner changes: the next one may order after the handover.
         newOwner(it);
         cell.OrdersFrom = Now + milliseconds(3250);
       }
-      if (upTo(Rarely) == 0 && !cell.Engines.empty()) {
+      if (randomBelow(FailurePeriod) == 0 && !cell.Engines.empty()) {
         cell.Engines.erase(cell.Engines.begin());
-        addEngine(cell, upTo(2) == 0);
+        addEngine(cell, randomBelow(2) == 0);
       }
     }
   }
 
   void step() {
     Now += Step;
-    std::vector<std::size_t> underWayNow;
+    std::vector<std::size_t> loadingCounts;
     for (auto &cell : Cells) {
       for (auto &[id, it] : cell.Engines)
         if (it.LoadsUntil && *it.LoadsUntil <= Now) {
           it.LoadsUntil.reset();
           it.Holds = true;
         }
-      underWayNow.push_back(underWay(cell));
+      loadingCounts.push_back(loadingCount(cell));
     }
-    Told.push_back(std::move(underWayNow));
-    constexpr std::size_t ToldLate = 6;
-    if (Told.size() > ToldLate)
-      Told.pop_front();
+    ReportedLoads.push_back(std::move(loadingCounts));
+    constexpr std::size_t ReportDelaySteps = 6;
+    if (ReportedLoads.size() > ReportDelaySteps)
+      ReportedLoads.pop_front();
     for (std::size_t it = 0; it < Cells.size(); ++it)
       run(it);
   }
@@ -125,15 +125,16 @@
     std::vector<ReplicaPtr> records;
     for (const auto &[id, it] : cell.Engines)
       records.push_back(std::make_shared<const ReplicaRecord>(it.Record));
-    cell.Desk->setReplicas(records, Plan, Now);
-    const auto &told = Told.front();
-    auto all = std::accumulate(told.begin(), told.end(), std::size_t{0});
-    cell.Desk->setModelsElsewhere(all - told[number]);
-    for (const auto &it : cell.Desk->plan(Now >= cell.OrdersFrom, Now))
-      obey(cell, it);
+    cell.Placement->setReplicas(records, Plan, Now);
+    const auto &reported = ReportedLoads.front();
+    auto all =
+        std::accumulate(reported.begin(), reported.end(), std::size_t{0});
+    cell.Placement->setModelsElsewhere(all - reported[number]);
+    for (const auto &it : cell.Placement->plan(Now >= cell.OrdersFrom, Now))
+      execute(cell, it);
   }
 
-  void obey(Cell &cell, const PlacementAction &action) {
+  void execute(Cell &cell, const PlacementAction &action) {
     auto &engine = cell.Engines.at(action.Replica);
     if (action.Type == PlacementAction::Kind::Report) {
       HoldingsReport report;
@@ -143,7 +144,7 @@
       report.OrderCount = engine.Count;
       if (engine.HasCopy)
         report.Local.OnDisk.insert(Model.Model);
-      cell.Desk->onReport(action.Replica, report, Now);
+      cell.Placement->onReport(action.Replica, report, Now);
       return;
     }
     auto answer = OrderAnswer::Conflict;
@@ -157,14 +158,15 @@
       if (!engine.HasCopy)
         Starts.push_back(Now);
     }
-    constexpr std::uint64_t Often = 10;
-    bool lost = upTo(Often) == 0;
-    cell.Desk->onOrderAnswer(action.Replica, action.Order,
-                             lost ? OrderAnswer::Unknown : answer, Now);
+    constexpr std::uint64_t LostAnswerPeriod = 10;
+    bool lost = randomBelow(LostAnswerPeriod) == 0;
+    cell.Placement->onOrderAnswer(action.Replica, action.Order,
+                                  lost ? OrderAnswer::Unknown : answer, Now);
   }
 
-  /// Loads that began in the window that had most.
-  std::size_t most() const {
+  /// Returns the number of loads that started in the window with the most
+  /// starts.
+  std::size_t maxStartsInWindow() const {
     std::size_t out = 0;
     for (auto it = Starts.begin(); it != Starts.end(); ++it)
       out = std::max(
@@ -179,20 +181,20 @@
   Span FromDisk = seconds(2);
   std::shared_ptr<const RoutePlan> Plan;
   std::vector<Cell> Cells;
-  /// Loads under way in each cell, at the last looks.
-  std::deque<std::vector<std::size_t>> Told;
+  /// Number of loads in progress in each cell, in the last steps.
+  std::deque<std::vector<std::size_t>> ReportedLoads;
   std::vector<Instant> Starts;
   Instant Now = seconds(1000);
   int NextEngine = 0;
 };
 
-/// What the weight store allows in a window: its rate, a tenth more, and
-/// three.
-double allowed(double rate) { return rate * inSeconds(Window) * 1.1 + 3; }
+/// Returns how many loads the weight store allows in a window: its rate, a
+/// tenth more, and three.
+double allowedStarts(double rate) { return rate * inSeconds(Window) * 1.1 + 3; }
 
 } // namespace
 
-TEST_CASE("cells that start together keep the rate of base model loads",
+TEST_CASE("cells that start together keep to the rate of base model loads",
           "[desk]") {
   auto cells = GENERATE(1U, 3U, 8U, 23U, 60U);
   auto rate = GENERATE(0.5, 1.0, 2.8, 17.0, 40.0);
@@ -201,18 +203,19 @@
   for (int it = 0; it < Steps; ++it)
     world.step();
   INFO(cells << " cells, " << rate << " loads a second");
-  CHECK(static_cast<double>(world.most()) <= allowed(rate));
+  CHECK(static_cast<double>(world.maxStartsInWindow()) <= allowedStarts(rate));
   CHECK(world.Starts.size() >= 4);
 }
 
-TEST_CASE("base models that engines have copies of are loaded at once",
-          "[desk]") {
+TEST_CASE(
+    "base models with local copies are loaded without waiting for the store",
+    "[desk]") {
   LoadWorld world(1, 3, 0, 1);
   constexpr int Engines = 8;
   for (auto &cell : world.Cells)
     for (int it = 0; it < Engines; ++it)
       world.addEngine(cell, true);
-  // Three looks until orders may have gone out, and 2 s for the load.
+  // Three steps until the first orders are sent, and 2 s for the load.
   constexpr int Steps = 43;
   for (int it = 0; it < Steps; ++it)
     world.step();
@@ -221,12 +224,13 @@
     holding += static_cast<std::size_t>(
         std::count_if(cell.Engines.begin(), cell.Engines.end(),
                       [](const auto &it) { return it.second.Holds; }));
-  // An answer of ten is lost, and its engine asked again.
+  // One answer of ten is lost, and its engine is sent the order again.
   CHECK(holding >= 20);
   CHECK(world.Starts.empty());
 }
 
-TEST_CASE("the rate of base model loads holds whatever fails", "[desk]") {
+TEST_CASE("the rate of base model loads is kept under random failures",
+          "[desk]") {
   REQUIRE(rc::check([] {
     auto seed = *rc::gen::arbitrary<std::uint64_t>();
     auto cells = *rc::gen::inRange(1U, 25U);
@@ -235,10 +239,11 @@
     LoadWorld world(seed, cells, engines, rate);
     constexpr int Steps = 500;
     for (int it = 0; it < Steps; ++it) {
-      world.trouble();
+      world.injectFailures();
       world.step();
     }
-    RC_ASSERT(static_cast<double>(world.most()) <= allowed(rate));
+    RC_ASSERT(static_cast<double>(world.maxStartsInWindow()) <=
+              allowedStarts(rate));
   }));
 }
 
