--- a/Hemlockglade/Coordination/Entries/EntryLoad.cpp
+++ b/Hemlockglade/Coordination/Entries/EntryLoad.cpp
@@ -11,8 +11,8 @@
 constexpr double Megabyte = 1e6;
 constexpr double BitsPerByte = 8;
 
-/// A request for a generation: some 60 events of 150 bytes.
-constexpr EntryLoad UsualRequest{1, 10'000};
+/// A typical request for a generation: some 60 events of 150 bytes.
+constexpr EntryLoad TypicalRequest{1, 10'000};
 
 } // namespace
 
@@ -27,36 +27,38 @@
   auto megabytes = load.Bytes / Megabyte;
   auto processor =
       SecondsPerRequest * load.Requests + SecondsPerMegabyte * megabytes;
-  // What comes in on the host's link goes out on it as well.
+  // Bytes that come in on the host's link go out on it as well.
   return std::max(processor / host.Cores,
                   BitsPerByte * megabytes / host.LinkMbps);
 }
 
 double relativeCapacity(const HostCapacity &host) {
-  return 1 / EntryCost().shareOf(host, UsualRequest);
+  return 1 / EntryCost().shareOf(host, TypicalRequest);
 }
 
 void EntryLoadMeter::onRequest(Instant now) {
-  Counted = faded(now);
-  At = now;
+  Counted = decayed(now);
+  UpdatedAt = now;
   Counted.Requests += 1;
 }
 
 void EntryLoadMeter::onBytes(std::uint64_t n, Instant now) {
-  Counted = faded(now);
-  At = now;
+  Counted = decayed(now);
+  UpdatedAt = now;
   Counted.Bytes += static_cast<double>(n);
 }
 
-EntryLoad EntryLoadMeter::faded(Instant now) const {
-  auto part = std::exp2(-inSeconds(now - At) / inSeconds(Setup.HalfLife));
+EntryLoad EntryLoadMeter::decayed(Instant now) const {
+  auto part =
+      std::exp2(-inSeconds(now - UpdatedAt) / inSeconds(Options.HalfLife));
   return {Counted.Requests * part, Counted.Bytes * part};
 }
 
 EntryLoad EntryLoadMeter::load(Instant now) const {
-  // A steady rate settles at itself times half life / ln 2.
-  auto perSecond = std::numbers::ln2 / inSeconds(Setup.HalfLife);
-  auto out = faded(now);
+  // At a steady rate the decaying sum settles at the rate times half-life / ln
+  // 2.
+  auto perSecond = std::numbers::ln2 / inSeconds(Options.HalfLife);
+  auto out = decayed(now);
   return {out.Requests * perSecond, out.Bytes * perSecond};
 }
 
--- a/Hemlockglade/Coordination/Entries/EntryLoad.h
+++ b/Hemlockglade/Coordination/Entries/EntryLoad.h
@@ -4,36 +4,37 @@
 
 namespace hemlockglade {
 
-/// What callers ask of nodes, a second.
+/// Load that callers put on nodes, a second.
 struct EntryLoad {
   double Requests = 0;
-  /// Bytes of the bodies of requests and answers.
+  /// Bytes of the bodies of requests and responses.
   double Bytes = 0;
 
   EntryLoad &operator+=(const EntryLoad &other);
 };
 
-/// What a host gives a node.
+/// Capacity that a host has for a node.
 struct HostCapacity {
   double Cores = 1;
   double LinkMbps = 1000;
 };
 
-/// What a second of load takes of a host.
+/// Cost of load on a host.
 struct EntryCost {
-  /// Processor time of a request, and of a megabyte that is passed on.
+  /// Processor seconds for a request, and for a megabyte that is passed on.
   double SecondsPerRequest = 0.0005;
   double SecondsPerMegabyte = 0.06;
 
-  /// The larger of the shares of processor and link that a load takes; above 1
-  /// it does not fit.
+  /// Returns the larger of the shares of processor and link that a load takes;
+  /// a load whose share is above 1 does not fit.
   double shareOf(const HostCapacity &host, const EntryLoad &load) const;
 };
 
-/// Loads like the usual one that a host could carry, to compare hosts.
+/// Returns how many loads of one typical request a second a host can carry, to
+/// compare hosts.
 double relativeCapacity(const HostCapacity &host);
 
-/// Measures one node's load, with a half life.
+/// Measures one node's load as an exponentially decaying average.
 class EntryLoadMeter {
 public:
   struct Settings {
@@ -41,20 +42,20 @@
   };
 
   EntryLoadMeter() : EntryLoadMeter(Settings{}) {}
-  explicit EntryLoadMeter(Settings settings) : Setup(settings) {}
+  explicit EntryLoadMeter(Settings settings) : Options(settings) {}
 
   void onRequest(Instant now);
-  /// A request is over that moved so many bytes.
+  /// Called when a request that moved `n` bytes has ended.
   void onBytes(std::uint64_t n, Instant now);
   EntryLoad load(Instant now) const;
 
 private:
-  /// What is counted, fallen since `At` to its present part.
-  EntryLoad faded(Instant now) const;
+  /// Returns `Counted`, decayed since `UpdatedAt`.
+  EntryLoad decayed(Instant now) const;
 
-  Settings Setup;
+  Settings Options;
   EntryLoad Counted;
-  Instant At{};
+  Instant UpdatedAt{};
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Entries/EntrySelector.cpp
+++ b/Hemlockglade/Coordination/Entries/EntrySelector.cpp
@@ -5,13 +5,14 @@
 
 namespace hemlockglade {
 
-std::size_t EntrySelector::needed(std::span<const EntryCandidate> strongest,
-                                  const EntryLoad &load) const {
-  for (auto n = Setup.Least; n < strongest.size(); ++n) {
+std::size_t
+EntrySelector::neededCount(std::span<const EntryCandidate> strongest,
+                           const EntryLoad &load) const {
+  for (auto n = Options.MinEntries; n < strongest.size(); ++n) {
     auto count = static_cast<double>(n);
     EntryLoad each{load.Requests / count, load.Bytes / count};
-    // The last is the weakest.
-    if (Setup.Cost.shareOf(strongest[n - 1].Host, each) <= Setup.Fill)
+    // The last one is the weakest.
+    if (Options.Cost.shareOf(strongest[n - 1].Host, each) <= Options.MaxShare)
       return n;
   }
   return strongest.size();
@@ -25,13 +26,13 @@
     return std::tuple(-relativeCapacity(a.Host), std::string_view(a.Node)) <
            std::tuple(-relativeCapacity(b.Host), std::string_view(b.Node));
   });
-  auto n = needed(out, load);
-  if (n >= Number || now - NeededAt >= Setup.ShrinkAfter) {
-    Number = n;
+  auto n = neededCount(out, load);
+  if (n >= Count || now - NeededAt >= Options.ShrinkDelay) {
+    Count = n;
     NeededAt = now;
   }
-  if (Number < out.size())
-    out.resize(Number);
+  if (Count < out.size())
+    out.resize(Count);
   return out;
 }
 
--- a/Hemlockglade/Coordination/Entries/EntrySelector.h
+++ b/Hemlockglade/Coordination/Entries/EntrySelector.h
@@ -8,7 +8,7 @@
 
 namespace hemlockglade {
 
-/// A node that could serve callers of its failure domain.
+/// A node that can serve callers of its failure domain.
 struct EntryCandidate {
   std::string Node;
   std::string CallerAddress;
@@ -19,41 +19,44 @@
   }
 };
 
-/// Chooses which nodes of one failure domain serve its callers; the others
-/// stand by. Answers a load that is small beside all nodes together: each that
-/// serves has to be told at once of every request that others send and of all
-/// that engines hold, which grows with the square of their number, and one that
-/// is told late piles prompts on engines that are busy.
+/// Chooses which nodes of one failure domain are in service; the others are on
+/// standby. Only as many as needed serve: each node in service must at once
+/// receive every request that others send and all that engines hold, which
+/// grows with the square of their number. A node that receives it late
+/// sends further prompts to engines that are busy.
 ///
-/// Strongest first, and as many as the load needs: callers share themselves out
-/// evenly, so each has to bear an even share. The same candidates and load give
-/// the same choice at every owner, but for how long it takes to shrink.
+/// Takes the strongest nodes first, and as many as the load needs: callers
+/// spread evenly over the nodes, so each must bear an even share. The same
+/// candidates and load give the same choice at every owner, except for the
+/// delay before it shrinks.
 class EntrySelector {
 public:
   struct Settings {
-    /// Part of its processor or link that the load may take of a node, so that
-    /// it bears jumps of demand and the share of others that are lost.
-    double Fill = 0.25;
-    /// Nodes that serve however small the load, so that a loss hits few.
-    std::size_t Least = 3;
-    /// How long fewer must do before one stands by again.
-    Span ShrinkAfter = std::chrono::seconds(10);
+    /// Maximum share of a node's processor or link that the load may take, so
+    /// that the node can bear jumps in demand and the share of failed nodes.
+    double MaxShare = 0.25;
+    /// Minimum number of nodes in service, however small the load, so that the
+    /// failure of one affects few callers.
+    std::size_t MinEntries = 3;
+    /// How long fewer nodes must suffice before one goes to standby again.
+    Span ShrinkDelay = std::chrono::seconds(10);
     EntryCost Cost;
   };
 
-  explicit EntrySelector(Settings settings) : Setup(settings) {}
+  explicit EntrySelector(Settings settings) : Options(settings) {}
 
-  /// Chooses among all that are ready; `load` is that of the failure domain.
+  /// Returns the nodes in service out of all that are ready; `load` is that of
+  /// the failure domain.
   std::vector<EntryCandidate> choose(std::span<const EntryCandidate> ready,
                                      const EntryLoad &load, Instant now);
 
 private:
-  std::size_t needed(std::span<const EntryCandidate> strongest,
-                     const EntryLoad &load) const;
+  std::size_t neededCount(std::span<const EntryCandidate> strongest,
+                          const EntryLoad &load) const;
 
-  Settings Setup;
-  std::size_t Number = 0;
-  /// When as many as now were needed last.
+  Settings Options;
+  std::size_t Count = 0;
+  /// When `Count` nodes were needed last.
   Instant NeededAt{};
 };
 
--- a/Hemlockglade/Coordination/Entries/ServingEntries.cpp
+++ b/Hemlockglade/Coordination/Entries/ServingEntries.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-const std::vector<EntryCandidate> *find(const std::vector<DomainEntries> &told,
-                                        const std::string &domain) {
-  for (const auto &it : told)
+const std::vector<EntryCandidate> *
+findEntries(const std::vector<DomainEntries> &reported,
+            const std::string &domain) {
+  for (const auto &it : reported)
     if (it.FailureDomain == domain && !it.Entries.empty())
       return &it.Entries;
   return nullptr;
@@ -18,25 +19,25 @@
 } // namespace
 
 void ServingEntries::update(const std::string &cell,
-                            std::vector<DomainEntries> told) {
-  Told[cell] = std::move(told);
+                            std::vector<DomainEntries> reported) {
+  ReportedByCell[cell] = std::move(reported);
 }
 
 std::vector<EntryCandidate>
 ServingEntries::inDomain(const std::string &domain) const {
-  if (auto own = Told.find(domain); own != Told.end())
-    if (const auto *entries = find(own->second, domain))
+  if (auto own = ReportedByCell.find(domain); own != ReportedByCell.end())
+    if (const auto *entries = findEntries(own->second, domain))
       return *entries;
-  for (const auto &[cell, told] : Told)
-    if (const auto *entries = find(told, domain))
+  for (const auto &[cell, reported] : ReportedByCell)
+    if (const auto *entries = findEntries(reported, domain))
       return *entries;
   return {};
 }
 
 std::vector<EntryCandidate> ServingEntries::all() const {
   std::set<std::string> domains;
-  for (const auto &[cell, told] : Told)
-    for (const auto &it : told)
+  for (const auto &[cell, reported] : ReportedByCell)
+    for (const auto &it : reported)
       domains.insert(it.FailureDomain);
   std::vector<EntryCandidate> out;
   for (const auto &domain : domains)
--- a/Hemlockglade/Coordination/Entries/ServingEntries.h
+++ b/Hemlockglade/Coordination/Entries/ServingEntries.h
@@ -14,28 +14,31 @@
   bool operator==(const DomainEntries &) const = default;
 };
 
-/// What one node knows of who serves callers, from the owners of the cells. The
-/// owner of a failure domain's own cell hears of all its nodes, that of another
-/// cell only of those that serve: its word counts while the first is silent.
-/// No clock, no sockets.
+/// The nodes in service as one node knows them from the owners of the cells.
+/// The owner of a failure domain's own cell receives reports of all its nodes,
+/// that of another cell only of those in service: its list is used only while
+/// there is none from the own cell's owner. Deterministic: it has no clock and
+/// does no I/O.
 class ServingEntries {
 public:
-  /// The owner of a cell tells who serves; replaces what it told before.
-  void update(const std::string &cell, std::vector<DomainEntries> told);
-  /// It is lost or silent: what it told does not count any more.
-  void forget(const std::string &cell) { Told.erase(cell); }
-
-  /// Who serves a failure domain; empty if nobody knows.
+  /// Called when the owner of a cell has reported the nodes in service;
+  /// replaces its earlier report.
+  void update(const std::string &cell, std::vector<DomainEntries> reported);
+  /// Called when the owner of a cell has ended or is silent: its report is
+  /// discarded.
+  void forget(const std::string &cell) { ReportedByCell.erase(cell); }
+
+  /// Returns the nodes in service of a failure domain; empty if none is known.
   std::vector<EntryCandidate> inDomain(const std::string &domain) const;
-  /// Who serves any failure domain.
+  /// Returns the nodes in service of all failure domains.
   std::vector<EntryCandidate> all() const;
   bool serves(const std::string &node, const std::string &domain) const;
-  /// Part of what all nodes in service share that is this node's: none if it is
-  /// not one of them, or if they are not known.
+  /// Returns this node's part of what all nodes in service share: 0 if it is
+  /// not one of them, or if none is known.
   double shareOf(const std::string &node, const std::string &domain) const;
 
 private:
-  std::map<std::string, std::vector<DomainEntries>> Told;
+  std::map<std::string, std::vector<DomainEntries>> ReportedByCell;
 };
 
 } // namespace hemlockglade
--- a/UnitTests/Coordination/Entries/EntrySelectorTest.cpp
+++ b/UnitTests/Coordination/Entries/EntrySelectorTest.cpp
@@ -26,27 +26,27 @@
   return out;
 }
 
-/// Load of so many requests a second, each with an answer of 10 kB.
+/// Load of this many requests a second, each with a response of 10 kB.
 EntryLoad requests(double perSecond) { return {perSecond, perSecond * 10'000}; }
 
 std::vector<EntryCandidate> choose(const std::vector<EntryCandidate> &ready,
                                    double perSecond) {
-  EntrySelector roster({});
-  return roster.choose(ready, requests(perSecond), seconds(1));
+  EntrySelector selector({});
+  return selector.choose(ready, requests(perSecond), seconds(1));
 }
 
 } // namespace
 
-TEST_CASE("a small load is served by few, the strongest", "[entries]") {
+TEST_CASE("a small load is served by the few strongest nodes", "[entries]") {
   auto chosen = choose(hosts(3, 36), 100);
   REQUIRE(chosen.size() == 3);
   for (const auto &it : chosen)
     CHECK(it.Node.front() == 's');
 }
 
-// No host may be asked for more than a part of what it has, whatever others
-// have.
-TEST_CASE("a load that few weak hosts can't bear is shared by more",
+// No host may get more than its maximum share of load, whatever capacity the
+// other hosts have.
+TEST_CASE("a load that few weak hosts cannot carry is shared by more",
           "[entries]") {
   double perSecond = GENERATE(50, 100, 200, 400);
   std::size_t strong = GENERATE(0, 3);
@@ -54,24 +54,26 @@
   EntrySelector::Settings setup;
   auto each = requests(perSecond / static_cast<double>(chosen.size()));
   for (const auto &it : chosen)
-    CHECK(setup.Cost.shareOf(it.Host, each) <= setup.Fill);
+    CHECK(setup.Cost.shareOf(it.Host, each) <= setup.MaxShare);
 }
 
-TEST_CASE("a load that is too large for all is shared by all", "[entries]") {
+TEST_CASE("a load that is too large for all nodes is shared by all",
+          "[entries]") {
   CHECK(choose(hosts(3, 36), 1e6).size() == 39);
 }
 
-TEST_CASE("the choice grows at once and shrinks late", "[entries]") {
-  EntrySelector roster({});
+TEST_CASE("the number of chosen nodes grows at once and shrinks after a delay",
+          "[entries]") {
+  EntrySelector selector({});
   auto ready = hosts(0, 40);
-  auto most = roster.choose(ready, requests(300), seconds(1)).size();
-  CHECK(most > 3);
-  CHECK(roster.choose(ready, requests(1), seconds(5)).size() == most);
-  CHECK(roster.choose(ready, requests(1), seconds(12)).size() == 3);
-  CHECK(roster.choose(ready, requests(300), seconds(13)).size() == most);
+  auto maxCount = selector.choose(ready, requests(300), seconds(1)).size();
+  CHECK(maxCount > 3);
+  CHECK(selector.choose(ready, requests(1), seconds(5)).size() == maxCount);
+  CHECK(selector.choose(ready, requests(1), seconds(12)).size() == 3);
+  CHECK(selector.choose(ready, requests(300), seconds(13)).size() == maxCount);
 }
 
-TEST_CASE("the same nodes are chosen whatever order they are heard in",
+TEST_CASE("the same nodes are chosen whatever the order of the candidates",
           "[entries]") {
   CHECK(checkMany("order of candidates", 100, [] {
     auto ready = hosts(*rc::gen::inRange<std::size_t>(0, 5),
@@ -83,15 +85,15 @@
   }));
 }
 
-// Whatever is lost, in whatever order: those that are named are ready, and
+// Whichever nodes are lost, in whatever order: the chosen ones are ready, and
 // there are enough of them.
-TEST_CASE("random losses and returns leave callers with nodes that are ready",
+TEST_CASE("random failures and returns leave callers with nodes that are ready",
           "[entries]") {
   CHECK(checkMany("losses", 100, [] {
     auto all = hosts(*rc::gen::inRange<std::size_t>(0, 4),
                      *rc::gen::inRange<std::size_t>(1, 30));
     auto perSecond = *rc::gen::inRange(0, 400);
-    EntrySelector roster({});
+    EntrySelector selector({});
     std::set<std::string> lost;
     Instant now = seconds(1);
     for (int step = 0; step < 12; ++step) {
@@ -103,7 +105,7 @@
       for (const auto &it : all)
         if (!lost.contains(it.Node))
           ready.push_back(it);
-      auto chosen = roster.choose(ready, requests(perSecond), now);
+      auto chosen = selector.choose(ready, requests(perSecond), now);
       RC_ASSERT(chosen.size() >= std::min<std::size_t>(3, ready.size()));
       for (const auto &it : chosen)
         RC_ASSERT(!lost.contains(it.Node));
@@ -111,7 +113,7 @@
   }));
 }
 
-TEST_CASE("a measured load follows the requests", "[entries]") {
+TEST_CASE("the measured load follows the rate of requests", "[entries]") {
   EntryLoadMeter meter;
   Instant now = seconds(100);
   for (int n = 0; n < 400; ++n) {
@@ -124,21 +126,22 @@
   CHECK(meter.load(now + seconds(10)).Requests < 0.1);
 }
 
-TEST_CASE("the own cell's owner is believed before another", "[entries]") {
-  ServingEntries board;
-  CHECK(board.inDomain("a").empty());
-  CHECK(board.shareOf("n", "a") == 0);
-  board.update("b", {{"a", {{"old", "1", {}}}}, {"b", {{"m", "2", {}}}}});
-  CHECK(board.inDomain("a").front().Node == "old");
-  board.update("a", {{"a", {{"n", "3", {}}, {"k", "4", {}}}}});
-  CHECK(board.inDomain("a").front().Node == "n");
-  CHECK(board.serves("n", "a"));
-  CHECK_FALSE(board.serves("old", "a"));
-  CHECK(board.all().size() == 3);
-  CHECK(board.shareOf("n", "a") == Approx(1.0 / 3));
-  CHECK(board.shareOf("old", "a") == 0);
-  board.forget("a");
-  CHECK(board.inDomain("a").front().Node == "old");
+TEST_CASE("the own cell's owner takes precedence over another cell's",
+          "[entries]") {
+  ServingEntries entries;
+  CHECK(entries.inDomain("a").empty());
+  CHECK(entries.shareOf("n", "a") == 0);
+  entries.update("b", {{"a", {{"old", "1", {}}}}, {"b", {{"m", "2", {}}}}});
+  CHECK(entries.inDomain("a").front().Node == "old");
+  entries.update("a", {{"a", {{"n", "3", {}}, {"k", "4", {}}}}});
+  CHECK(entries.inDomain("a").front().Node == "n");
+  CHECK(entries.serves("n", "a"));
+  CHECK_FALSE(entries.serves("old", "a"));
+  CHECK(entries.all().size() == 3);
+  CHECK(entries.shareOf("n", "a") == Approx(1.0 / 3));
+  CHECK(entries.shareOf("old", "a") == 0);
+  entries.forget("a");
+  CHECK(entries.inDomain("a").front().Node == "old");
 }
 
 } // namespace hemlockglade::test
