--- a/Programs/hemlockgladed/Gateway/GatewayExchange.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Ranks that requests have at engines.
+/// Priorities at engines are 0 to 9, of which 9 is the least urgent.
 constexpr std::uint32_t LowestRank = 9;
 
 RequestKey keyOf(const CallerRequest &request, const RequestLabels &labels) {
@@ -59,14 +59,14 @@
   EndsAt = Request.ArrivedAt + allowed;
   HoldUntil = Request.ArrivedAt + scaled(allowed, Settings.MaxHoldShare);
   if (MatchedRoute.Kind == RouteKind::Stream) {
-    auto patience = std::max(
+    auto callerPatience = std::max(
         {Settings.MinCallerPatience,
          scaled(MatchedRoute.TargetLatency, Settings.CallerPatienceInTargets),
          scaled(MatchedRoute.TargetGap, Settings.CallerPatienceInGaps)});
-    HoldFor = scaled(patience, Settings.StreamHoldShare);
-    HoldUntil = std::min(HoldUntil, Request.ArrivedAt + HoldFor);
+    StreamHoldTime = scaled(callerPatience, Settings.StreamHoldShare);
+    HoldUntil = std::min(HoldUntil, Request.ArrivedAt + StreamHoldTime);
   }
-  LastEvent = Labels.ResumeBehind;
+  LastEventId = Labels.ResumeBehind;
 }
 
 GatewayExchange::~GatewayExchange() = default;
@@ -74,13 +74,13 @@
 void GatewayExchange::start() {
   Reply->OnGone = [weak = weak_from_this()] {
     if (auto self = weak.lock())
-      self->onCallerGone();
+      self->onCallerDisconnected();
   };
   if (endIfBarred())
     return;
   Shared.Budget.onRequest(Query.Service, TimerService::now());
-  arm();
-  book();
+  armTimer();
+  reserveQuota();
 }
 
 bool GatewayExchange::endIfBarred() {
@@ -89,19 +89,19 @@
     return false;
   constexpr std::string_view Why = "replicas ended under this request";
   if (MayHaveRun)
-    answerOwn(BadGateway, Why);
+    answerWithError(BadGateway, Why);
   else
-    answerOwn(Unavailable, Why, barredFor);
+    answerWithError(Unavailable, Why, barredFor);
   return true;
 }
 
 void GatewayExchange::onBarred() {
-  // One that gives events runs at a replica that lives.
+  // A request whose events arrive runs at a replica that has not crashed.
   if (Done || (Current && Current->FirstEventAt))
     return;
   if (Current) {
-    // It may wait behind others there, and would crash the replica as it
-    // begins.
+    // The replica may have queued the request, and would crash when it begins
+    // to run it.
     MayHaveRun = MayHaveRun || Current->Connection->open();
     endAttempt(AttemptVerdict::Success);
   }
@@ -110,14 +110,15 @@
 
 Span GatewayExchange::timeLeft() const { return EndsAt - TimerService::now(); }
 
-void GatewayExchange::arm() {
+void GatewayExchange::armTimer() {
   auto now = TimerService::now();
   Span due = EndsAt - now;
-  // A wait whose end is known need not be looked at before.
-  constexpr Span LeastWait = std::chrono::milliseconds(2);
+  // A wait whose end is known is not polled before, and no wait is polled after
+  // less than this.
+  constexpr Span MinWait = std::chrono::milliseconds(2);
   if (Waiting)
     due = std::min(
-        due, std::clamp(WakeAt - now, LeastWait, Settings.WaitPollInterval));
+        due, std::clamp(WakeAt - now, MinWait, Settings.WaitPollInterval));
   Timer.expires_after(std::max(Span(0), due));
   Timer.async_wait([weak = weak_from_this()](asio::error_code ec) {
     auto self = weak.lock();
@@ -129,13 +130,14 @@
 void GatewayExchange::onTimer() {
   if (timeLeft() > Span(0)) {
     if (Waiting)
-      next();
+      sendOrHold();
     else
-      arm();
+      armTimer();
     return;
   }
   if (Current) {
-    // A request is written as soon as its connection is open.
+    // A request is written as soon as its connection is open, so the replica
+    // may have run it.
     MayHaveRun = MayHaveRun || Current->Connection->open();
     endAttempt(AttemptVerdict::NoValidAnswer);
   }
@@ -144,64 +146,64 @@
     return finish(0, "out of time in its answer");
   }
   if (MayHaveRun)
-    return answerOwn(GatewayTimeout, "out of time");
-  answerOwn(Unavailable, "out of time, never run", retryAfter());
+    return answerWithError(GatewayTimeout, "out of time");
+  answerWithError(Unavailable, "out of time, never run", retryAfter());
 }
 
 void GatewayExchange::wake() {
   if (Waiting && !Done)
-    next();
+    sendOrHold();
 }
 
 Span GatewayExchange::retryAfter() const {
-  // A caller that comes back finds the weights loaded: the usual load takes a
-  // quarter of a second, and a few wait for each other. While nobody may load,
-  // that takes seconds.
-  constexpr auto LoadTurn = std::chrono::milliseconds(500);
-  constexpr auto NextHolder = std::chrono::milliseconds(2000);
-  constexpr auto PlainTurn = std::chrono::milliseconds(100);
-  if (!engine())
-    return PlainTurn;
-  bool loads = !Shared.CanLoad || Shared.CanLoad();
-  return loads ? Span(LoadTurn) : Span(NextHolder);
+  // A caller that retries then finds the weights loaded: a load usually takes
+  // a quarter of a second, and a few loads queue for each other. While no cell
+  // has an owner that may load, a load takes seconds.
+  constexpr auto RetryAfterLoad = std::chrono::milliseconds(500);
+  constexpr auto RetryAfterNewOwner = std::chrono::milliseconds(2000);
+  constexpr auto RetryAfterPlain = std::chrono::milliseconds(100);
+  if (!usesEngine())
+    return RetryAfterPlain;
+  bool canLoad = !Shared.CanLoad || Shared.CanLoad();
+  return canLoad ? Span(RetryAfterLoad) : Span(RetryAfterNewOwner);
 }
 
-void GatewayExchange::next() {
+void GatewayExchange::sendOrHold() {
   auto now = TimerService::now();
   if (timeLeft() < Settings.MinAttemptTime)
-    return arm();
+    return armTimer();
   if (endIfBarred())
     return;
   auto choice = Shared.View.choose(Query, now);
-  if (choice.Result == RouteChoice::Kind::Send && letsOthersGo(now))
+  if (choice.Result == RouteChoice::Kind::Send && mustQueue(now))
     choice.Result = RouteChoice::Kind::Full;
   if (choice.Result == RouteChoice::Kind::Send) {
-    if (engine() && !std::exchange(DemandTold, true))
+    if (usesEngine() && !std::exchange(DemandReported, true))
       Shared.OnDemand(Query.Service, *Query.Weights, false);
     return send(choice);
   }
-  hold(choice);
+  waitForReplica(choice);
 }
 
-void GatewayExchange::hold(const RouteChoice &choice) {
+void GatewayExchange::waitForReplica(const RouteChoice &choice) {
   auto now = TimerService::now();
-  if (engine() && !std::exchange(DemandTold, true))
+  if (usesEngine() && !std::exchange(DemandReported, true))
     Shared.OnDemand(Query.Service, *Query.Weights, false);
   if (now >= HoldUntil) {
     if (MayHaveRun)
-      return answerOwn(BadGateway, "no replica to try again");
-    return answerOwn(Unavailable, "held too long", retryAfter());
+      return answerWithError(BadGateway, "no replica to try again");
+    return answerWithError(Unavailable, "held too long", retryAfter());
   }
   Waiting = true;
-  Paced = choice.Result == RouteChoice::Kind::AwaitPrefill ||
-          choice.Result == RouteChoice::Kind::Full;
+  WaitsForCapacity = choice.Result == RouteChoice::Kind::AwaitPrefill ||
+                     choice.Result == RouteChoice::Kind::Full;
   WakeAt = choice.ReadyAt == Instant::max() ? now + Settings.WaitPollInterval
                                             : choice.ReadyAt;
   switch (choice.Result) {
   case RouteChoice::Kind::NotLoaded:
     WaitReason = "weights missing";
-    if (now - WantToldAt >= Settings.DemandReminderInterval) {
-      WantToldAt = now;
+    if (now - DemandReportedAt >= Settings.DemandReminderInterval) {
+      DemandReportedAt = now;
       Shared.OnDemand(Query.Service, *Query.Weights, true);
     }
     break;
@@ -210,48 +212,49 @@
     break;
   case RouteChoice::Kind::AwaitPrefill:
     WaitReason = "engine reads";
-    tellPressed(now);
+    reportCongestion(now);
     break;
   case RouteChoice::Kind::Full:
-    if (!engine() && Shared.PlainQueue) {
-      joinTurns();
-      // Others may go where it may not.
+    if (!usesEngine() && Shared.PlainQueue) {
+      joinQueue();
+      // Others may be sent to replicas that this request must not use.
       if (!Query.Excluded.empty() || !Query.BackoffUntil.empty())
-        Shared.PlainQueue->deferUntil(Query.Service, Turn,
+        Shared.PlainQueue->deferUntil(Query.Service, QueueTicket,
                                       now + Settings.WaitPollInterval / 2);
     }
     WakeAt = now + Settings.WaitPollInterval;
     WaitReason = "replicas full";
-    tellPressed(now);
+    reportCongestion(now);
     break;
   default:
     WaitReason = "no replica known";
   }
-  noteHold(choice, now);
-  arm();
+  logWait(choice, now);
+  armTimer();
 }
 
-void GatewayExchange::noteHold(const RouteChoice &choice, Instant now) {
-  if (WaitReason == NotedReason)
+void GatewayExchange::logWait(const RouteChoice &choice, Instant now) {
+  if (WaitReason == LoggedReason)
     return;
-  NotedReason = WaitReason;
-  bool known = choice.ReadyAt != Instant::max() && choice.ReadyAt > now;
-  Shared.Log.write(LogClass::Request, "hold",
-                   {{"request", Labels.Id},
-                    {"reason", WaitReason},
-                    {"service", Query.Service},
-                    {"weights", engine() ? Query.Weights->text() : ""},
-                    {"ready_in_ms", known ? choice.ReadyAt - now : Span(0)},
-                    {"held_until_ms", HoldUntil - now},
-                    {"can_load", !Shared.CanLoad || Shared.CanLoad()}});
+  LoggedReason = WaitReason;
+  bool hasReadyTime = choice.ReadyAt != Instant::max() && choice.ReadyAt > now;
+  Shared.Log.write(
+      LogClass::Request, "hold",
+      {{"request", Labels.Id},
+       {"reason", WaitReason},
+       {"service", Query.Service},
+       {"weights", usesEngine() ? Query.Weights->text() : ""},
+       {"ready_in_ms", hasReadyTime ? choice.ReadyAt - now : Span(0)},
+       {"held_until_ms", HoldUntil - now},
+       {"can_load", !Shared.CanLoad || Shared.CanLoad()}});
 }
 
-void GatewayExchange::tellPressed(Instant now) {
-  bool pressed = now - Request.ArrivedAt >= Settings.CongestedAfter;
-  if (!engine() || !pressed ||
-      now - WantToldAt < Settings.DemandReminderInterval)
+void GatewayExchange::reportCongestion(Instant now) {
+  bool congested = now - Request.ArrivedAt >= Settings.CongestedAfter;
+  if (!usesEngine() || !congested ||
+      now - DemandReportedAt < Settings.DemandReminderInterval)
     return;
-  WantToldAt = now;
+  DemandReportedAt = now;
   Shared.OnCongested(Query.Service, *Query.Weights);
 }
 
@@ -263,16 +266,16 @@
     address = parseEndpoint(choice.Replica->Address);
   } catch (const asio::system_error &) {
     Query.Excluded.insert(choice.Replica->Incarnation.text());
-    return hold(choice);
+    return waitForReplica(choice);
   }
   ForwardLabels labels;
   labels.TimeLeft = timeLeft();
   labels.Incarnation = choice.Replica->Incarnation.id();
-  if (engine())
+  if (usesEngine())
     labels.Priority = std::min(LowestRank, Query.Rank);
-  if (engine() && choice.Version)
+  if (usesEngine() && choice.Version)
     labels.Version = choice.Version;
-  labels.ResumeBehind = LastEvent;
+  labels.ResumeBehind = LastEventId;
   labels.Workspace = workspace();
   HttpRequestHead head{Request.Head.Method, Request.Head.Target, {}};
   head.Fields = fieldsOf(Shared.Labels.Forward(Fields, labels));
@@ -281,106 +284,110 @@
         {"Content-Length", std::to_string(Request.Body.size())});
   else if (findField(Request.Head.Fields, "Transfer-Encoding"))
     head.Fields.push_back({"Content-Length", "0"});
-  leaveTurns(true);
+  leaveQueue(true);
   Query.SentAt = now;
   Current = std::make_unique<Attempt>();
   Current->Replica = choice.Replica;
   Current->SentAt = now;
-  Current->Clean = choice.PrefillIdle;
+  Current->PrefillIdle = choice.PrefillIdle;
   Current->Version = choice.Version;
-  Current->BeginsBy = choice.MustBeginBy;
+  Current->MustBeginBy = choice.MustBeginBy;
   ReplacedFor.reset();
   if (choice.ReplacedAt)
     ReplacedFor = now - *choice.ReplacedAt;
-  if (engine())
+  if (usesEngine())
     Shared.OnSent(
         *choice.Replica,
         Shared.View.tokensToRead(choice.Replica->Incarnation.text(), Query),
         *Query.Weights);
-  if (CallerWorkspace && CallerWorkspace->Limit && !std::exchange(Booked, true))
-    Shared.Limits.Charge(*CallerWorkspace, units());
+  if (CallerWorkspace && CallerWorkspace->Limit &&
+      !std::exchange(QuotaReserved, true))
+    Shared.Limits.Charge(*CallerWorkspace, quotaUnits());
   Current->Number =
       Shared.View.onSent(choice.Replica->Incarnation.text(), Query, now);
-  bool once = !MatchedRoute.idempotent();
+  bool runOnce = !MatchedRoute.idempotent();
   Current->Connection = Shared.Pool.take(
-      address, once ? Settings.MaxIdleForRunOnce : Span::max());
-  bool kept = Current->Connection->open();
-  Tried.insert(choice.Replica->Incarnation.text());
+      address, runOnce ? Settings.MaxIdleForRunOnce : Span::max());
+  bool reused = Current->Connection->open();
+  AttemptedReplicas.insert(choice.Replica->Incarnation.text());
   Shared.Crashes.OnSent(Key);
   EverSent = true;
-  if (!FirstSent)
-    FirstSent = now - Request.ArrivedAt;
-  Shared.Log.write(LogClass::Request, "send",
-                   {{"request", Labels.Id},
-                    {"key", Key.text()},
-                    {"route", MatchedRoute.Name},
-                    {"workspace", workspace()},
-                    {"service", Query.Service},
-                    {"weights", engine() ? Query.Weights->text() : ""},
-                    {"version", choice.Version},
-                    {"newest", choice.NewestVersion},
-                    {"replaced_ms_ago", ReplacedFor.value_or(Span(0))},
-                    {"replica", choice.Replica->Incarnation.text()},
-                    {"running", choice.Running},
-                    {"load_age_ms", choice.LoadAge},
-                    {"far", choice.Remote},
-                    {"attempt", static_cast<std::uint64_t>(Tried.size())},
-                    {"kept", kept},
-                    {"waited_ms", now - Request.ArrivedAt},
-                    {"wait", WaitReason},
-                    {"plan", Plan->version()},
-                    {"left_ms", labels.TimeLeft}});
+  if (!TimeToFirstSend)
+    TimeToFirstSend = now - Request.ArrivedAt;
+  Shared.Log.write(
+      LogClass::Request, "send",
+      {{"request", Labels.Id},
+       {"key", Key.text()},
+       {"route", MatchedRoute.Name},
+       {"workspace", workspace()},
+       {"service", Query.Service},
+       {"weights", usesEngine() ? Query.Weights->text() : ""},
+       {"version", choice.Version},
+       {"newest", choice.NewestVersion},
+       {"replaced_ms_ago", ReplacedFor.value_or(Span(0))},
+       {"replica", choice.Replica->Incarnation.text()},
+       {"running", choice.Running},
+       {"load_age_ms", choice.LoadAge},
+       {"far", choice.Remote},
+       {"attempt", static_cast<std::uint64_t>(AttemptedReplicas.size())},
+       {"kept", reused},
+       {"waited_ms", now - Request.ArrivedAt},
+       {"wait", WaitReason},
+       {"plan", Plan->version()},
+       {"left_ms", labels.TimeLeft}});
   HttpCallHooks hooks;
   auto weak = weak_from_this();
   auto number = Current->Number;
-  auto live = [weak, number]() -> std::shared_ptr<GatewayExchange> {
+  auto ifCurrent = [weak, number]() -> std::shared_ptr<GatewayExchange> {
     auto self = weak.lock();
-    bool its =
+    bool isCurrent =
         self && !self->Done && self->Current && self->Current->Number == number;
-    return its ? self : nullptr;
+    return isCurrent ? self : nullptr;
   };
-  hooks.OnHead = [live](const HttpAnswerHead &it) {
-    auto self = live();
+  hooks.OnHead = [ifCurrent](const HttpAnswerHead &it) {
+    auto self = ifCurrent();
     return self ? self->onHead(it) : true;
   };
-  hooks.OnBody = [live](std::string_view part) {
-    if (auto self = live())
+  hooks.OnBody = [ifCurrent](std::string_view part) {
+    if (auto self = ifCurrent())
       self->onBody(part);
   };
-  hooks.OnDone = [live] {
-    if (auto self = live())
+  hooks.OnDone = [ifCurrent] {
+    if (auto self = ifCurrent())
       self->onDone();
   };
-  hooks.OnFailed = [live](HttpFailure how) {
-    if (auto self = live())
+  hooks.OnFailed = [ifCurrent](HttpFailure how) {
+    if (auto self = ifCurrent())
       self->onFailed(how);
   };
   if (MatchedRoute.idempotent()) {
-    auto usual =
+    auto typicalTime =
         Shared.View.typicalFirstByte(choice.Replica->Incarnation.text());
-    Span least =
+    Span minTime =
         MatchedRoute.Kind == RouteKind::Stream
             ? std::max(Settings.MinStallTime, MatchedRoute.TargetLatency)
             : Settings.MinSlowTime;
-    expectWithin(std::max(least, scaled(usual, Settings.SlowFactor)));
+    setStallTimeout(
+        std::max(minTime, scaled(typicalTime, Settings.SlowFactor)));
   }
-  armAttempt();
-  arm();
+  armAttemptTimer();
+  armTimer();
   Current->Connection->call(writeHead(head), Request.Body,
                             Request.Head.Method == "HEAD", std::move(hooks));
 }
 
-void GatewayExchange::expectWithin(Span span) {
-  Current->StuckAt = TimerService::now() + span;
+void GatewayExchange::setStallTimeout(Span span) {
+  Current->StalledAt = TimerService::now() + span;
 }
 
-void GatewayExchange::armAttempt() {
-  auto due = Current->StuckAt;
-  if (Current->BeginsBy && !Current->FirstEventAt)
-    due = std::min(due, *Current->BeginsBy);
+void GatewayExchange::armAttemptTimer() {
+  auto due = Current->StalledAt;
+  if (Current->MustBeginBy && !Current->FirstEventAt)
+    due = std::min(due, *Current->MustBeginBy);
   if (due == Instant::max())
     return;
-  // The timer is not moved with each event: it looks when it fires.
+  // The timer isn't moved with each event: the deadline is checked when it
+  // fires.
   AttemptTimer.expires_after(due - TimerService::now());
   AttemptTimer.async_wait(
       [weak = weak_from_this(), number = Current->Number](asio::error_code ec) {
@@ -394,92 +401,97 @@
 void GatewayExchange::onRestarted(const ReplicaIncarnation &before) {
   if (Done || !Current || Current->Replica->Incarnation != before)
     return;
-  Current->Orphaned = true;
-  Current->StuckAt =
-      std::min(Current->StuckAt, TimerService::now() + Settings.RestartGrace);
-  armAttempt();
+  Current->ReplicaRestarted = true;
+  Current->StalledAt =
+      std::min(Current->StalledAt, TimerService::now() + Settings.RestartGrace);
+  armAttemptTimer();
 }
 
 void GatewayExchange::onVersionDeclared(const WeightsRef &weights) {
-  // Only a stream shows when it begins; any other run may be under way.
+  // Only a stream shows when it begins; any other request may already run.
   bool waits = Current && !Current->FirstEventAt &&
                MatchedRoute.Kind == RouteKind::Stream;
   if (Done || !waits || Query.Weights != weights)
     return;
-  Current->BeginsBy = Shared.View.mustBeginBy(weights, Current->Version);
-  armAttempt();
+  Current->MustBeginBy = Shared.View.mustBeginBy(weights, Current->Version);
+  armAttemptTimer();
 }
 
-void GatewayExchange::noteAlive() {
-  // Something came: the request runs at the new start of its replica.
-  if (std::exchange(Current->Orphaned, false))
-    Current->StuckAt = MatchedRoute.idempotent()
-                           ? TimerService::now() + Settings.MinStallTime
-                           : Instant::max();
+void GatewayExchange::onActivity() {
+  // Data arrive, so the newer incarnation of the replica runs the request.
+  if (std::exchange(Current->ReplicaRestarted, false))
+    Current->StalledAt = MatchedRoute.idempotent()
+                             ? TimerService::now() + Settings.MinStallTime
+                             : Instant::max();
 }
 
-bool GatewayExchange::beginsTooLate() const {
-  return Current->BeginsBy && !Current->FirstEventAt &&
-         TimerService::now() >= *Current->BeginsBy;
+bool GatewayExchange::isBeginOverdue() const {
+  return Current->MustBeginBy && !Current->FirstEventAt &&
+         TimerService::now() >= *Current->MustBeginBy;
 }
 
 void GatewayExchange::onAttemptTimer() {
-  bool late = beginsTooLate();
-  if (!late && TimerService::now() < Current->StuckAt)
-    return armAttempt();
+  bool late = isBeginOverdue();
+  if (!late && TimerService::now() < Current->StalledAt)
+    return armAttemptTimer();
   MayHaveRun = MayHaveRun || Current->Connection->open();
   if (late)
-    return endUnbegun();
-  if (Current->Orphaned && !Current->Connection->open())
+    return endOverdueAttempt();
+  if (Current->ReplicaRestarted && !Current->Connection->open())
     return onFailed(HttpFailure::NotConnected);
-  if (Current->Orphaned)
-    return onUnknown("replica started anew");
-  if (!mayRepeat() || !spendRepeat("slow")) {
-    // It is waited for on; that it begins too late is still looked at.
-    Current->StuckAt = Instant::max();
-    return armAttempt();
+  if (Current->ReplicaRestarted)
+    return onAttemptFailed("replica started anew");
+  if (!canRetry() || !consumeRetry("slow")) {
+    // The attempt goes on without a stall timeout; whether it begins too late
+    // is still checked.
+    Current->StalledAt = Instant::max();
+    return armAttemptTimer();
   }
   auto slow = Current->Replica->Incarnation.text();
   endAttempt(AttemptVerdict::NoValidAnswer);
   Query.Excluded.insert(slow);
-  next();
+  sendOrHold();
 }
 
-void GatewayExchange::endUnbegun() {
-  // An engine that has queued the request behind others would begin it on
-  // weights that were replaced long ago; only ending it here prevents that.
+void GatewayExchange::endOverdueAttempt() {
+  // An engine that has queued the request would begin it on weights that were
+  // replaced too long ago; only ending the attempt here prevents that.
   auto now = TimerService::now();
-  EndedUnbegun = true;
+  EndedBeforeStart = true;
   Shared.Log.write(LogClass::Request, "not-begun",
                    {{"request", Labels.Id},
                     {"weights", Query.Weights->text()},
                     {"version", Current->Version},
                     {"replica", Current->Replica->Incarnation.text()},
                     {"sent_ms_ago", now - Current->SentAt},
-                    {"due_ms_ago", now - *Current->BeginsBy}});
-  // The engine did nothing wrong, and may be the one that takes the newest.
+                    {"due_ms_ago", now - *Current->MustBeginBy}});
+  // The engine has not failed, and may be the one that loads the newest
+  // version.
   endAttempt(AttemptVerdict::Success);
-  goOn("would begin on replaced weights");
+  retryOrFail("would begin on replaced weights");
 }
 
-bool GatewayExchange::mayRepeat() const {
-  bool more = Tried.size() < MatchedRoute.MaxAttempts;
-  return MatchedRoute.idempotent() && more &&
+bool GatewayExchange::canRetry() const {
+  bool attemptsLeft = AttemptedReplicas.size() < MatchedRoute.MaxAttempts;
+  return MatchedRoute.idempotent() && attemptsLeft &&
          timeLeft() > Settings.MinAttemptTime;
 }
 
-bool GatewayExchange::spendRepeat(std::string_view why) {
+bool GatewayExchange::consumeRetry(std::string_view why) {
   auto now = TimerService::now();
   bool allowed = Shared.Budget.tryConsume(Query.Service, now);
-  // A caller who has heard something waits as long again.
+  // A caller that has received events waits for the next one as long as it
+  // did for the first, so the request may be held as long again.
   if (allowed)
-    HoldUntil = std::min(std::max(HoldUntil, now + HoldFor), HoldLimit);
-  Shared.Log.write(LogClass::Request, "repeat",
-                   {{"request", Labels.Id},
-                    {"why", why},
-                    {"events", EventsPassed},
-                    {"tried", static_cast<std::uint64_t>(Tried.size())},
-                    {"allowed", allowed}});
+    HoldUntil =
+        std::min(std::max(HoldUntil, now + StreamHoldTime), MaxHoldUntil);
+  Shared.Log.write(
+      LogClass::Request, "repeat",
+      {{"request", Labels.Id},
+       {"why", why},
+       {"events", EventsPassed},
+       {"tried", static_cast<std::uint64_t>(AttemptedReplicas.size())},
+       {"allowed", allowed}});
   return allowed;
 }
 
@@ -488,27 +500,30 @@
     return;
   AttemptTimer.cancel();
   auto attempt = std::exchange(Current, nullptr);
-  // What reached a replica may have run, unless it says that it has not.
+  // A request that reached a replica may have run, unless the replica says
+  // that it has not; only then is the quota released.
   if (attempt->Connection->open() && !attempt->Labels.NotRun)
-    Booked = false;
+    QuotaReserved = false;
   Shared.View.onEnd(attempt->Replica->Incarnation.text(), attempt->Number,
                     Query, verdict, TimerService::now());
-  if (engine())
+  if (usesEngine())
     Shared.OnDone(*attempt->Replica, *Query.Weights);
   else if (Shared.PlainQueue)
     Shared.PlainQueue->wakeNext(Query.Service, TimerService::now());
   if (attempt->Connection->calling())
     Shared.Crashes.OnGivenUp(*attempt->Replica, Key, attempt->SentAt,
                              attempt->FirstEventAt);
-  // A connection in the middle of an answer is reset, which also ends the run.
+  // A connection in the middle of an answer is reset, which also makes the
+  // replica stop the run.
   if (attempt->Connection->reusable())
     Shared.Pool.give(attempt->Connection);
   else
     attempt->Connection->abort();
 }
 
-void GatewayExchange::answerOwn(std::uint16_t status, std::string_view why,
-                                std::optional<Span> retryAfter) {
+void GatewayExchange::answerWithError(std::uint16_t status,
+                                      std::string_view why,
+                                      std::optional<Span> retryAfter) {
   if (AnswerBegun) {
     Reply->abort();
     return finish(0, why);
@@ -528,37 +543,38 @@
   AttemptTimer.cancel();
   Status = status;
   Result = result;
-  leaveTurns(false);
-  giveBack();
-  Shared.Log.write(LogClass::Request, "end",
-                   {{"request", Labels.Id},
-                    {"status", std::uint32_t{status}},
-                    {"result", result},
-                    {"workspace", workspace()},
-                    {"weights", engine() ? Query.Weights->text() : ""},
-                    {"wait", WaitReason},
-                    {"arrivals", static_cast<std::uint64_t>(Tried.size())},
-                    {"events", EventsPassed},
-                    {"first_ms", FirstByte.value_or(Span(0))},
-                    {"took_ms", TimerService::now() - Request.ArrivedAt}});
+  leaveQueue(false);
+  releaseQuota();
+  Shared.Log.write(
+      LogClass::Request, "end",
+      {{"request", Labels.Id},
+       {"status", std::uint32_t{status}},
+       {"result", result},
+       {"workspace", workspace()},
+       {"weights", usesEngine() ? Query.Weights->text() : ""},
+       {"wait", WaitReason},
+       {"arrivals", static_cast<std::uint64_t>(AttemptedReplicas.size())},
+       {"events", EventsPassed},
+       {"first_ms", TimeToFirstByte.value_or(Span(0))},
+       {"took_ms", TimerService::now() - Request.ArrivedAt}});
   Reply->OnDrained = nullptr;
   Reply->OnGone = nullptr;
   Shared.OnEnd(*this);
 }
 
 Span GatewayExchange::heldFor() const {
-  return FirstSent.value_or(TimerService::now() - Request.ArrivedAt);
+  return TimeToFirstSend.value_or(TimerService::now() - Request.ArrivedAt);
 }
 
-void GatewayExchange::onCallerGone() {
+void GatewayExchange::onCallerDisconnected() {
   if (Current)
     endAttempt(AttemptVerdict::Success);
   finish(0, "caller left");
 }
 
 void GatewayExchange::holdAtMost(Span span) {
-  HoldLimit = std::min(HoldLimit, TimerService::now() + span);
-  HoldUntil = std::min(HoldUntil, HoldLimit);
+  MaxHoldUntil = std::min(MaxHoldUntil, TimerService::now() + span);
+  HoldUntil = std::min(HoldUntil, MaxHoldUntil);
 }
 
 void GatewayExchange::abort() {
@@ -567,8 +583,8 @@
   if (Current)
     endAttempt(AttemptVerdict::Success);
   if (!AnswerBegun && !MayHaveRun && !EverSent)
-    return answerOwn(Unavailable, "this node stops", retryAfter());
-  answerOwn(BadGateway, "this node stops");
+    return answerWithError(Unavailable, "this node stops", retryAfter());
+  answerWithError(BadGateway, "this node stops");
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/GatewayExchange.h
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.h
@@ -1,4 +1,4 @@
-#pragma once
+#pragma runOnce
 
 #include "Hemlockglade/Coordination/Route/ExchangeSettings.h"
 #include "Hemlockglade/Coordination/Route/FairQueue.h"
@@ -19,40 +19,45 @@
 
 class GatewayExchange;
 
-/// What exchanges tell and ask about requests that crash replicas.
+/// Callbacks with which exchanges report and query requests that crash
+/// replicas.
 struct CrashHooks {
-  /// For how long a request must not be sent, if it is barred.
+  /// Returns for how long a request must not be sent; nothing if it isn't
+  /// barred.
   std::function<std::optional<Span>(const RequestKey &key)> BarredFor;
-  /// It is sent to a replica.
+  /// Called when the request is sent to a replica.
   std::function<void(const RequestKey &key)> OnSent;
-  /// An attempt broke off without an answer; `beganAt` if some of it had come.
+  /// Called when the connection of an attempt ended before its answer was
+  /// complete; `beganAt` is when the first event was received, if any was.
   std::function<void(const ReplicaRecord &replica, const RequestKey &key,
                      Instant sentAt, std::optional<Instant> beganAt)>
       OnBroken;
-  /// An attempt was given up while the replica may run it on.
+  /// Called when an attempt is ended while the replica may still run it;
+  /// `beganAt` as for `OnBroken`.
   std::function<void(const ReplicaRecord &replica, const RequestKey &key,
                      Instant sentAt, std::optional<Instant> beganAt)>
       OnGivenUp;
-  /// Another incarnation answers at the replica's address.
-  std::function<void(const ReplicaIncarnation &life)> OnReplaced;
-  /// A replica ran it to its end, with success.
+  /// Called when another incarnation answers at the replica's address.
+  std::function<void(const ReplicaIncarnation &incarnation)> OnReplaced;
+  /// Called when a replica has run the request to its end with success.
   std::function<void(const RequestKey &key)> OnServed;
 };
 
-/// What exchanges ask and tell about their workspaces' limits, in the limits'
-/// units.
+/// Callbacks with which exchanges reserve quota from their workspaces' limits.
+/// Units are those of the limit: requests or tokens.
 struct LimitHooks {
-  /// Asks before a request may run; `decided` is called once, at once or later.
-  std::function<void(const Workspace &workspace, double units,
+  /// Reserves units before a request is sent. `decided` is called exactly
+  /// once, either before this returns or later.
+  std::function<void(const Workspace &workspace, double quotaUnits,
                      QuotaService::OnDecided decided)>
       Reserve;
-  /// One that may have run runs once more.
-  std::function<void(const Workspace &workspace, double units)> Charge;
-  /// What was booked has not run.
-  std::function<void(const Workspace &workspace, double units)> Release;
+  /// Charges a further attempt of a request whose earlier one may have run.
+  std::function<void(const Workspace &workspace, double quotaUnits)> Charge;
+  /// Returns reserved units of an attempt that has not run.
+  std::function<void(const Workspace &workspace, double quotaUnits)> Release;
 };
 
-/// What exchanges share: the parts of the node that they use.
+/// The parts of the node that all exchanges share.
 struct ExchangeContext {
   asio::io_context &Context;
   ReplicaView &View;
@@ -60,35 +65,40 @@
   HttpPool &Pool;
   EventLog &Log;
   LabelHooks Labels;
-  /// Requests for weights came; `waiting` if no replica has them.
+  /// Called when a request needs weights; `waiting` if no replica has them.
   std::function<void(const std::string &service, const WeightsRef &weights,
                      bool waiting)>
       OnDemand;
-  /// A request waits because the engines that have the weights are at their
-  /// limit.
+  /// Called when a request has waited for a while because the engines that
+  /// have the weights are at their limit.
   std::function<void(const std::string &service, const WeightsRef &weights)>
       OnCongested;
+  /// Called when an engine refuses a request without running it; `missing` if
+  /// it says that it lacks the weights.
   std::function<void(const ReplicaRecord &replica, const WeightsRef &weights,
                      bool missing)>
       OnRefusal;
-  /// A request goes to an engine that has to read this many tokens for it.
+  /// Called when a request is sent to an engine, which has to prefill this
+  /// many tokens for it.
   std::function<void(const ReplicaRecord &replica, std::uint32_t tokens,
                      const WeightsRef &weights)>
       OnSent;
-  /// It is over there.
+  /// Called when an attempt at an engine has ended.
   std::function<void(const ReplicaRecord &replica, const WeightsRef &weights)>
       OnDone;
-  /// Whether any cell can load weights now.
+  /// Returns whether any cell can load weights now; unset means yes.
   std::function<bool()> CanLoad;
+  /// Called once, when the exchange has ended.
   std::function<void(const GatewayExchange &exchange)> OnEnd;
   CrashHooks Crashes;
   LimitHooks Limits;
-  /// Whose turn it is at plain replicas that are full.
+  /// Order of the requests that wait for plain replicas which are full; null
+  /// if they are not queued.
   FairQueue *PlainQueue = nullptr;
 };
 
-/// One request of a caller, from its arrival to its answer: finds a replica,
-/// passes request and answer on, tries again where that is allowed.
+/// One request of a caller, from its arrival to its answer. Chooses a replica,
+/// forwards the request and the answer, and retries where that is allowed.
 class GatewayExchange : public std::enable_shared_from_this<GatewayExchange> {
 public:
   GatewayExchange(ExchangeContext &shared, const ExchangeSettings &settings,
@@ -97,51 +107,63 @@
                   RequestLabels labels, std::shared_ptr<CallerReply> reply);
   ~GatewayExchange();
 
+  /// Reserves quota and sends the request, or holds it until it can be sent.
   void start();
-  /// Something that it may wait for has changed.
+  /// Looks for a replica again if the request waits. Called when something
+  /// that it may wait for has changed.
   void wake();
-  /// A replica has started anew. An attempt there is over, unless it already
-  /// runs at the new start and something comes soon.
+  /// Called when a newer incarnation of a replica is known; `before` is the
+  /// older one. An attempt there ends unless data from the replica arrive
+  /// within `RestartGrace`: the newer incarnation may run it already.
   void onRestarted(const ReplicaIncarnation &before);
-  /// A version of weights was named, which may replace the one that an attempt
-  /// waits to begin on.
+  /// Called when a version of weights has been declared, which may replace the
+  /// one that an attempt waits to begin on.
   void onVersionDeclared(const WeightsRef &weights);
-  /// The request is barred. It is answered, unless a replica runs it well.
+  /// Called when the request has been barred. Answers it, unless a replica has
+  /// already sent events of its answer.
   void onBarred();
-  /// Shortens how long it may be held before it is sent anywhere.
+  /// Limits the remaining time for which the request may be held before it is
+  /// sent. Retries don't extend it.
   void holdAtMost(Span span);
-  /// Ends it without a complete answer, at the end of a stop.
+  /// Ends the exchange without a complete answer. Called at the end of the
+  /// node's shutdown.
   void abort();
 
+  /// Whether the request is held until it can be sent.
   bool waiting() const { return Waiting; }
-  /// Whether it waits for weights or replicas, rather than for a turn.
-  bool waitsForChange() const { return Waiting && !Paced; }
-  /// Rank of its workspace, or else of its route; 0 is the most urgent.
+  /// Whether the request waits for weights or replicas, rather than for free
+  /// capacity of replicas that it could be sent to.
+  bool waitsForChange() const { return Waiting && !WaitsForCapacity; }
+  /// Priority of the workspace, or else of the route; 0 is the most urgent.
   std::uint32_t rank() const { return Query.Rank; }
   const RequestKey &key() const { return Key; }
   const std::string &service() const { return Query.Service; }
-  /// Name of its workspace; empty if it counts for none.
+  /// Name of the workspace; empty if the request belongs to none.
   std::string_view workspace() const {
     return CallerWorkspace ? std::string_view(CallerWorkspace->Name)
                            : std::string_view();
   }
+  /// HTTP status of the answer; 0 before the end, or if an answer was cut off.
   std::uint16_t status() const { return Status; }
+  /// How the exchange ended, as in the log; empty before the end.
   std::string_view outcome() const { return Result; }
   Instant arrivedAt() const { return Request.ArrivedAt; }
-  std::optional<Span> firstByte() const { return FirstByte; }
-  /// Bytes of the bodies of the request and of all answers to it.
-  std::uint64_t bytesMoved() const { return Request.Body.size() + Answered; }
-  /// How long it was held before it was first sent, or until its end.
+  /// Time from the arrival to the first byte of an answer from a replica.
+  std::optional<Span> firstByte() const { return TimeToFirstByte; }
+  /// Bytes of the bodies of the request and of the answers to all attempts.
+  std::uint64_t bytesMoved() const { return Request.Body.size() + AnswerBytes; }
+  /// Time from the arrival to the first attempt, or until now if there was
+  /// none.
   Span heldFor() const;
-  /// For how long the version of the last attempt had been replaced when it was
-  /// sent; none if it was the newest known.
+  /// For how long the weights' version of the last attempt had been replaced
+  /// when it was sent; none if it was the newest known.
   std::optional<Span> replacedFor() const { return ReplacedFor; }
-  /// Whether an attempt was ended because it would have begun on weights that
-  /// were replaced too long ago.
-  bool endedUnbegun() const { return EndedUnbegun; }
+  /// Whether an attempt was ended because it would have begun to run on weights
+  /// that had been replaced too long ago.
+  bool endedUnbegun() const { return EndedBeforeStart; }
 
 private:
-  /// What has come of the attempt that is under way.
+  /// State of the attempt that is under way.
   struct Attempt {
     std::shared_ptr<HttpConnection> Connection;
     ReplicaPtr Replica;
@@ -151,74 +173,92 @@
     AnswerLabels Labels;
     std::string Body;
     EventSplitter Events;
-    /// The engine had no prompts to read when the request was sent.
-    bool Clean = false;
+    /// The engine had no prefill backlog when the request was sent.
+    bool PrefillIdle = false;
     std::optional<Instant> FirstEventAt;
-    /// When the attempt is taken to be stuck, unless something comes before;
-    /// never if the attempt may not be repeated and its replica lives.
-    Instant StuckAt = Instant::max();
-    /// Version of the weights that it was sent for; 0 if not known.
+    /// When the attempt counts as stalled, unless data arrive before; never if
+    /// the request may not be retried and its replica has not restarted.
+    Instant StalledAt = Instant::max();
+    /// Version of the weights that the request was sent for; 0 if not known.
     std::uint64_t Version = 0;
-    /// If it has not begun by then it must not, as its weights were replaced.
-    std::optional<Instant> BeginsBy;
-    /// Its replica has started anew since it was sent.
-    bool Orphaned = false;
+    /// Set if the weights were replaced: an attempt that has not begun by then
+    /// must not begin.
+    std::optional<Instant> MustBeginBy;
+    /// A newer incarnation of the replica is known since the request was sent.
+    bool ReplicaRestarted = false;
   };
 
-  /// Books the request against its workspace's limit, then goes on.
-  void book();
-  void onBooked(QuotaService::Verdict what, Span retryAfter);
-  /// Units that the request counts as.
-  double units() const;
-  void noteLimited(Span retryAfter);
-  void giveBack();
-  void next();
-  /// Answers a request that must not be sent; whether it was one.
+  /// Reserves quota from the workspace's limit, then sends or holds the
+  /// request.
+  void reserveQuota();
+  void onQuotaDecided(QuotaService::Verdict verdict, Span retryAfter);
+  /// Returns the units that one attempt costs: 1, or a number of tokens.
+  double quotaUnits() const;
+  void logQuotaRefusal(Span retryAfter);
+  /// Releases quota that is reserved for an attempt which has not run.
+  void releaseQuota();
+  /// Chooses a replica and sends the request, or holds it.
+  void sendOrHold();
+  /// Answers the request if it is barred; returns whether it was.
   bool endIfBarred();
-  void hold(const RouteChoice &choice);
-  /// Whether others that wait for room at the service go before it.
-  bool letsOthersGo(Instant now);
-  void joinTurns();
-  void leaveTurns(bool served);
+  /// Holds the request until the choice may change, or refuses it if it was
+  /// held too long.
+  void waitForReplica(const RouteChoice &choice);
+  /// Whether others that wait for capacity of the service are served before
+  /// this request; if so, it joins their queue.
+  bool mustQueue(Instant now);
+  void joinQueue();
+  /// Leaves the queue; `served` if the request is sent to a replica.
+  void leaveQueue(bool served);
   void send(const RouteChoice &choice);
-  void tellPressed(Instant now);
-  void noteHold(const RouteChoice &choice, Instant now);
+  void reportCongestion(Instant now);
+  void logWait(const RouteChoice &choice, Instant now);
   bool onHead(const HttpAnswerHead &head);
   void onBody(std::string_view part);
   void onDone();
   void onFailed(HttpFailure how);
   void onNotRun();
-  void onUnknown(std::string_view why);
-  /// Sends the request once more where that is allowed, or answers it.
-  void goOn(std::string_view why);
-  void onBroken(std::string_view how);
+  /// Called when an attempt ended without a valid answer, so that it isn't
+  /// known whether the request has run.
+  void onAttemptFailed(std::string_view why);
+  /// Retries the request where that is allowed, or answers it with an error.
+  void retryOrFail(std::string_view why);
+  /// Reports an attempt whose connection ended before its answer was complete.
+  void reportBroken(std::string_view how);
   void onPlainAnswer();
-  void passEvents(std::string_view events);
+  void forwardEvents(std::string_view events);
   void onStreamEnd(bool whole, std::string_view why);
   void onTimer();
   void onAttemptTimer();
-  void arm();
-  void expectWithin(Span span);
-  void armAttempt();
-  void noteAlive();
-  bool beginsTooLate() const;
-  void endUnbegun();
+  void armTimer();
+  /// Sets when the attempt counts as stalled.
+  void setStallTimeout(Span span);
+  void armAttemptTimer();
+  /// Called when data have arrived from the replica.
+  void onActivity();
+  /// Whether the attempt has not begun by the time after which it must not.
+  bool isBeginOverdue() const;
+  void endOverdueAttempt();
   void endAttempt(AttemptVerdict verdict);
-  bool mayRepeat() const;
-  bool spendRepeat(std::string_view why);
-  void answerOwn(std::uint16_t status, std::string_view why,
-                 std::optional<Span> retryAfter = std::nullopt);
+  bool canRetry() const;
+  /// Takes a retry from the shared budget; returns whether there was one.
+  bool consumeRetry(std::string_view why);
+  /// Answers the caller with an error of this node, or cuts off an answer that
+  /// has begun.
+  void answerWithError(std::uint16_t status, std::string_view why,
+                       std::optional<Span> retryAfter = std::nullopt);
   void finish(std::uint16_t status, std::string_view result);
-  void onCallerGone();
+  void onCallerDisconnected();
   Span timeLeft() const;
   Span retryAfter() const;
-  bool engine() const { return Query.Weights.has_value(); }
+  bool usesEngine() const { return Query.Weights.has_value(); }
 
   ExchangeContext &Shared;
   const ExchangeSettings &Settings;
   std::shared_ptr<const RoutePlan> Plan;
   const Route &MatchedRoute;
-  /// Workspace that it counts for; none on routes that are open to all.
+  /// Workspace that the request is charged to; null on routes that are open to
+  /// all.
   const Workspace *CallerWorkspace;
   CallerRequest Request;
   RequestLabels Labels;
@@ -227,45 +267,52 @@
   std::shared_ptr<CallerReply> Reply;
   RouteQuery Query;
   Instant EndsAt{};
+  /// The request is refused if it still waits then; retries extend it.
   Instant HoldUntil{};
-  /// What no repeat prolongs.
-  Instant HoldLimit = Instant::max();
-  /// Longest hold of a stream's request, before its first event and between
-  /// two; 0 for others.
-  Span HoldFor{0};
+  /// Upper limit of `HoldUntil`, which retries don't extend.
+  Instant MaxHoldUntil = Instant::max();
+  /// How long a stream's request may be held, before its first event and
+  /// between two; 0 for others.
+  Span StreamHoldTime{0};
   asio::steady_timer Timer;
   asio::steady_timer AttemptTimer;
   std::unique_ptr<Attempt> Current;
-  /// Its place among those that wait for room; 0 if it has none.
-  FairQueue::Ticket Turn = 0;
+  /// Ticket in `PlainQueue`; 0 if the request isn't queued.
+  FairQueue::Ticket QueueTicket = 0;
   bool Waiting = false;
-  bool Paced = false;
+  /// While waiting: replicas could serve the request but are full or busy.
+  bool WaitsForCapacity = false;
   bool Done = false;
   bool AnswerBegun = false;
   bool EverSent = false;
-  /// It has reached a replica that may have run it.
+  /// An attempt has reached a replica that may have run it.
   bool MayHaveRun = false;
-  /// Units are booked for an attempt that has not run.
-  bool Booked = false;
-  bool DemandTold = false;
-  std::set<std::string> Tried;
-  /// How long each replica that shed the request rests next time.
-  std::map<std::string, Span> NextRest;
-  std::string LastEvent;
+  /// Units are reserved for an attempt that has not run.
+  bool QuotaReserved = false;
+  bool DemandReported = false;
+  /// Incarnations that the request was sent to, without those that didn't run
+  /// it.
+  std::set<std::string> AttemptedReplicas;
+  /// Backoff of each replica that sheds the request once more.
+  std::map<std::string, Span> NextShedBackoff;
+  /// Id of the last event that was forwarded.
+  std::string LastEventId;
   std::uint64_t EventsPassed = 0;
-  /// Bytes of answers' bodies.
-  std::uint64_t Answered = 0;
+  /// Bytes of the bodies of the answers to all attempts.
+  std::uint64_t AnswerBytes = 0;
   std::uint16_t Status = 0;
   std::string_view Result;
   std::string_view WaitReason;
-  std::string_view NotedReason;
+  /// `WaitReason` that was logged last.
+  std::string_view LoggedReason;
+  /// When to choose again while waiting.
   Instant WakeAt{};
-  Instant WantToldAt{};
-  std::optional<Span> FirstByte;
-  /// Time from the arrival to the first sending.
-  std::optional<Span> FirstSent;
+  Instant DemandReportedAt{};
+  std::optional<Span> TimeToFirstByte;
+  /// Time from the arrival to the first attempt.
+  std::optional<Span> TimeToFirstSend;
   std::optional<Span> ReplacedFor;
-  bool EndedUnbegun = false;
+  bool EndedBeforeStart = false;
 };
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/GatewayExchangeTurns.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchangeAdmission.cpp
@@ -1,5 +1,5 @@
-// How an exchange waits for its workspace's limit, and for its turn at plain
-// replicas.
+// GatewayExchange: reservation of quota, and queueing for plain replicas that
+// are full.
 
 #include "Hemlockglade/Transport/Time/TimerService.h"
 #include "Programs/hemlockgladed/Gateway/GatewayExchange.h"
@@ -11,7 +11,7 @@
 
 using namespace gateway;
 
-double GatewayExchange::units() const {
+double GatewayExchange::quotaUnits() const {
   if (CallerWorkspace->Limit->Unit == LimitUnit::Requests)
     return 1;
   return Labels.TellsTokens ? static_cast<double>(Labels.PromptTokens) +
@@ -19,38 +19,39 @@
                             : CallerWorkspace->Limit->PlainTokens;
 }
 
-void GatewayExchange::book() {
+void GatewayExchange::reserveQuota() {
   if (!CallerWorkspace || !CallerWorkspace->Limit)
-    return next();
+    return sendOrHold();
   Shared.Limits.Reserve(
-      *CallerWorkspace, units(),
-      [self = shared_from_this()](auto what, Span retryAfter) {
-        self->onBooked(what, retryAfter);
+      *CallerWorkspace, quotaUnits(),
+      [self = shared_from_this()](auto verdict, Span retryAfter) {
+        self->onQuotaDecided(verdict, retryAfter);
       });
 }
 
-void GatewayExchange::onBooked(QuotaService::Verdict what, Span retryAfter) {
-  Booked = what == QuotaService::Verdict::Allowed;
+void GatewayExchange::onQuotaDecided(QuotaService::Verdict verdict,
+                                     Span retryAfter) {
+  QuotaReserved = verdict == QuotaService::Verdict::Allowed;
   if (Done)
-    return giveBack();
-  if (!Booked)
-    noteLimited(retryAfter);
-  if (what == QuotaService::Verdict::Limited)
-    return answerOwn(TooMany, "beyond its workspace's limit", retryAfter);
-  if (what == QuotaService::Verdict::NoServer)
-    return answerOwn(Unavailable, "its workspace's limit can't be looked up",
-                     retryAfter);
-  next();
+    return releaseQuota();
+  if (!QuotaReserved)
+    logQuotaRefusal(retryAfter);
+  if (verdict == QuotaService::Verdict::Limited)
+    return answerWithError(TooMany, "beyond its workspace's limit", retryAfter);
+  if (verdict == QuotaService::Verdict::NoServer)
+    return answerWithError(
+        Unavailable, "its workspace's limit can't be looked up", retryAfter);
+  sendOrHold();
 }
 
-void GatewayExchange::noteLimited(Span retryAfter) {
+void GatewayExchange::logQuotaRefusal(Span retryAfter) {
   const auto &limit = *CallerWorkspace->Limit;
   bool tokens = limit.Unit == LimitUnit::Tokens;
   Shared.Log.write(
       LogClass::Request, "not-booked",
       {{"request", Labels.Id},
        {"workspace", CallerWorkspace->Name},
-       {"asked_for", units()},
+       {"asked_for", quotaUnits()},
        {"unit", tokens ? "tokens" : "requests"},
        {"limit_per_s", limit.PerSecond},
        {"burst", limit.Burst},
@@ -59,47 +60,47 @@
        {"retry_after_ms", retryAfter}});
 }
 
-void GatewayExchange::giveBack() {
-  if (std::exchange(Booked, false))
-    Shared.Limits.Release(*CallerWorkspace, units());
+void GatewayExchange::releaseQuota() {
+  if (std::exchange(QuotaReserved, false))
+    Shared.Limits.Release(*CallerWorkspace, quotaUnits());
 }
 
-bool GatewayExchange::letsOthersGo(Instant now) {
-  if (engine() || !Shared.PlainQueue ||
+bool GatewayExchange::mustQueue(Instant now) {
+  if (usesEngine() || !Shared.PlainQueue ||
       !Shared.PlainQueue->hasWaiting(Query.Service))
     return false;
-  joinTurns();
-  if (Shared.PlainQueue->isNext(Query.Service, Turn, now))
+  joinQueue();
+  if (Shared.PlainQueue->isNext(Query.Service, QueueTicket, now))
     return false;
   Shared.PlainQueue->wakeNext(Query.Service, now);
   return true;
 }
 
-void GatewayExchange::joinTurns() {
-  if (Turn)
+void GatewayExchange::joinQueue() {
+  if (QueueTicket)
     return;
   FairQueue::Request request;
   request.Workspace = workspace();
   request.Rank = Query.Rank;
   request.OnTimeUntil = Shared.View.onTimeUntil(Query, Request.ArrivedAt);
   request.Wake = [weak = weak_from_this(), &context = Shared.Context] {
-    // Later, since another request may be in the middle of its own choice.
+    // Posted, since another request may be in the middle of its own choice.
     asio::post(context, [weak] {
       if (auto self = weak.lock())
         self->wake();
     });
   };
-  Turn = Shared.PlainQueue->join(Query.Service, std::move(request));
+  QueueTicket = Shared.PlainQueue->join(Query.Service, std::move(request));
 }
 
-void GatewayExchange::leaveTurns(bool served) {
-  auto turn = std::exchange(Turn, 0);
-  if (!turn)
+void GatewayExchange::leaveQueue(bool served) {
+  auto ticket = std::exchange(QueueTicket, 0);
+  if (!ticket)
     return;
   if (served)
-    Shared.PlainQueue->onServed(Query.Service, turn);
+    Shared.PlainQueue->onServed(Query.Service, ticket);
   else
-    Shared.PlainQueue->leave(Query.Service, turn);
+    Shared.PlainQueue->leave(Query.Service, ticket);
   Shared.PlainQueue->wakeNext(Query.Service, TimerService::now());
 }
 
--- a/Programs/hemlockgladed/Gateway/GatewayExchangeAnswer.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchangeAnswer.cpp
@@ -1,4 +1,4 @@
-// How an exchange takes a replica's answer, or its lack.
+// GatewayExchange: handling of replicas' answers and of failed attempts.
 
 #include "Hemlockglade/Transport/Time/TimerService.h"
 #include "Programs/hemlockgladed/Gateway/GatewayExchange.h"
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// The id that an event's lines give, if any; of several events the last.
+/// Returns the id of the last event in the text that has one; empty if none
+/// has.
 std::string lastId(std::string_view events) {
   constexpr std::string_view Key = "id:";
   std::string out;
@@ -43,7 +44,7 @@
     return false;
   }
   auto now = TimerService::now();
-  noteAlive();
+  onActivity();
   Current->Head = head;
   Current->Labels = labels;
   Shared.View.onAnswered(Current->Replica->Incarnation.text(), Current->Number,
@@ -54,40 +55,41 @@
 }
 
 void GatewayExchange::onBody(std::string_view part) {
-  noteAlive();
-  Answered += part.size();
+  onActivity();
+  AnswerBytes += part.size();
   bool events = Current->Labels.Events && isSuccess(Current->Head->Status) &&
                 Current->Labels.Sealed && !Current->Labels.Encoded;
   if (!events) {
     Current->Body.append(part);
     if (Current->Body.size() > Settings.MaxAnswerBytes)
-      onUnknown("answer too large");
+      onAttemptFailed("answer too large");
     return;
   }
   auto whole = Current->Events.take(part);
   if (!whole.empty())
-    passEvents(whole);
+    forwardEvents(whole);
 }
 
-void GatewayExchange::passEvents(std::string_view events) {
+void GatewayExchange::forwardEvents(std::string_view events) {
   if (!Current->FirstEventAt) {
     Current->FirstEventAt = TimerService::now();
     Shared.View.onFirstEvent(Current->Replica->Incarnation.text(), Query,
                              *Current->FirstEventAt - Current->SentAt,
-                             Current->Clean);
+                             Current->PrefillIdle);
   }
   if (!AnswerBegun) {
     AnswerBegun = true;
-    FirstByte = TimerService::now() - Request.ArrivedAt;
+    TimeToFirstByte = TimerService::now() - Request.ArrivedAt;
     Reply->begin(*Current->Head);
   }
   if (auto id = lastId(events); !id.empty())
-    LastEvent = id;
+    LastEventId = id;
   ++EventsPassed;
   Reply->part(events);
   if (MatchedRoute.idempotent() && MatchedRoute.TargetGap > Span(0))
-    expectWithin(std::max(Settings.MinStallTime, scaled(MatchedRoute.TargetGap,
-                                                        Settings.StallFactor)));
+    setStallTimeout(
+        std::max(Settings.MinStallTime,
+                 scaled(MatchedRoute.TargetGap, Settings.StallFactor)));
   if (Done || !Current || Reply->queued() < Settings.MaxQueuedBytes)
     return;
   Current->Connection->pauseReading(true);
@@ -103,11 +105,11 @@
     return onNotRun();
   bool success = isSuccess(Current->Head->Status);
   if (success && (!Current->Labels.Sealed || Current->Labels.Encoded))
-    return onUnknown("answer without signature");
+    return onAttemptFailed("answer without signature");
   if (success && Current->Labels.Events) {
     constexpr std::string_view Torn = "its end was torn";
     if (Current->Events.torn())
-      onBroken(Torn);
+      reportBroken(Torn);
     return onStreamEnd(!Current->Events.torn(), Torn);
   }
   onPlainAnswer();
@@ -117,31 +119,31 @@
   auto status = Current->Head->Status;
   bool success = isSuccess(status);
   if (!success && !Current->Labels.Sealed)
-    return onUnknown("failure without signature");
+    return onAttemptFailed("failure without signature");
   if (!success && promisesNotRun(status))
-    return onUnknown("the replica's status would promise too much");
-  // A replica that fails more than its like does so by itself; another one
-  // may answer the same request well.
-  if (status >= ServerError && !AnswerBegun && mayRepeat() &&
+    return onAttemptFailed("the replica's status would promise too much");
+  // A replica that fails more often than the others of its service is itself
+  // at fault, so another one may answer the same request with success.
+  if (status >= ServerError && !AnswerBegun && canRetry() &&
       Shared.View.isSuspect(Current->Replica->Incarnation.text(),
                             TimerService::now()) &&
-      spendRepeat("replica's own failure")) {
+      consumeRetry("replica's own failure")) {
     auto failed = Current->Replica->Incarnation.text();
     endAttempt(AttemptVerdict::ReplicaError);
     Query.Excluded.insert(failed);
-    return next();
+    return sendOrHold();
   }
   if (AnswerBegun)
     return onStreamEnd(false, "a resumed stream failed");
   HttpAnswerHead head = *Current->Head;
   auto body = std::move(Current->Body);
-  // A failure may come before the replica begins to run the request, and says
-  // nothing of what it does there.
+  // A failure may be answered before the replica begins to run the request,
+  // and so doesn't show whether running it crashes the replica.
   if (success)
     Shared.Crashes.OnServed(Key);
   endAttempt(status >= ServerError ? AttemptVerdict::ReplicaError
                                    : AttemptVerdict::Success);
-  FirstByte = TimerService::now() - Request.ArrivedAt;
+  TimeToFirstByte = TimerService::now() - Request.ArrivedAt;
   Reply->respond(std::move(head), body);
   finish(status, success ? "complete" : "replica's failure");
 }
@@ -158,28 +160,28 @@
     Reply->finish();
     return finish(status, "complete");
   }
-  onUnknown(why);
+  onAttemptFailed(why);
 }
 
 void GatewayExchange::onFailed(HttpFailure how) {
   if (how == HttpFailure::NotConnected) {
     auto failed = Current->Replica->Incarnation.text();
-    Tried.erase(failed);
+    AttemptedReplicas.erase(failed);
     endAttempt(AttemptVerdict::NoValidAnswer);
     Query.Excluded.insert(failed);
     Shared.Log.write(LogClass::Request, "not-connected",
                      {{"request", Labels.Id}, {"replica", failed}});
-    return next();
+    return sendOrHold();
   }
   MayHaveRun = true;
-  Booked = false;
+  QuotaReserved = false;
   auto why =
       how == HttpFailure::Ended ? "connection ended" : "connection broke";
-  onBroken(why);
-  onUnknown(why);
+  reportBroken(why);
+  onAttemptFailed(why);
 }
 
-void GatewayExchange::onBroken(std::string_view how) {
+void GatewayExchange::reportBroken(std::string_view how) {
   auto now = TimerService::now();
   Shared.Log.write(
       LogClass::Request, "broke",
@@ -199,60 +201,62 @@
   auto record = Current->Replica;
   const auto &replica = *record;
   auto status = Current->Head->Status;
-  bool misdirected = status == OtherIncarnation;
-  bool replaced = misdirected && !Current->Labels.Incarnation.empty() &&
-                  Current->Labels.Incarnation != replica.Incarnation.id();
+  bool otherOrMissing = status == OtherIncarnation;
+  bool restarted = otherOrMissing && !Current->Labels.Incarnation.empty() &&
+                   Current->Labels.Incarnation != replica.Incarnation.id();
   Shared.Log.write(LogClass::Request, "not-run",
                    {{"request", Labels.Id},
                     {"replica", replica.Incarnation.text()},
                     {"answered_by", Current->Labels.Incarnation},
                     {"status", std::uint32_t{status}}});
-  // An engine that lacks the weights answers like one that has been replaced;
-  // the difference is which incarnation answers.
-  if (replaced) {
+  // An engine that lacks the weights answers with the same status as a newer
+  // incarnation of the replica; they differ in the incarnation that answers.
+  if (restarted) {
     endAttempt(AttemptVerdict::NoValidAnswer);
     Shared.View.onReplaced(replica.Incarnation.text());
     Shared.Crashes.OnReplaced(replica.Incarnation);
-  } else if (engine()) {
+  } else if (usesEngine()) {
     endAttempt(AttemptVerdict::Success);
     Shared.View.onWeightsRefused(replica.Incarnation.text(), *Query.Weights,
-                                 misdirected, TimerService::now());
-    Shared.OnRefusal(replica, *Query.Weights, misdirected);
+                                 otherOrMissing, TimerService::now());
+    Shared.OnRefusal(replica, *Query.Weights, otherOrMissing);
   } else {
     endAttempt(AttemptVerdict::Shed);
-    auto &rest =
-        NextRest.try_emplace(replica.Incarnation.text(), Settings.ShedBackoff)
+    auto &backoff =
+        NextShedBackoff
+            .try_emplace(replica.Incarnation.text(), Settings.ShedBackoff)
             .first->second;
-    Query.BackoffUntil[replica.Incarnation.text()] = TimerService::now() + rest;
-    rest *= 2;
+    Query.BackoffUntil[replica.Incarnation.text()] =
+        TimerService::now() + backoff;
+    backoff *= 2;
   }
-  Tried.erase(replica.Incarnation.text());
+  AttemptedReplicas.erase(replica.Incarnation.text());
   auto now = TimerService::now();
   if (Shared.Budget.tryConsume(Query.Service, now))
-    return next();
+    return sendOrHold();
   if (AnswerBegun)
-    return onUnknown("no budget to go on");
+    return onAttemptFailed("no budget to go on");
   if (MayHaveRun)
-    return answerOwn(BadGateway, "no budget to try again");
-  answerOwn(Unavailable, "no budget to try again", retryAfter());
+    return answerWithError(BadGateway, "no budget to try again");
+  answerWithError(Unavailable, "no budget to try again", retryAfter());
 }
 
-void GatewayExchange::onUnknown(std::string_view why) {
+void GatewayExchange::onAttemptFailed(std::string_view why) {
   if (Current) {
     Query.Excluded.insert(Current->Replica->Incarnation.text());
     endAttempt(AttemptVerdict::NoValidAnswer);
   }
-  goOn(why);
+  retryOrFail(why);
 }
 
-void GatewayExchange::goOn(std::string_view why) {
-  if (mayRepeat() && spendRepeat(why))
-    return next();
+void GatewayExchange::retryOrFail(std::string_view why) {
+  if (canRetry() && consumeRetry(why))
+    return sendOrHold();
   if (AnswerBegun) {
     Reply->abort();
     return finish(0, why);
   }
-  answerOwn(BadGateway, why);
+  answerWithError(BadGateway, why);
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/GatewayStatus.h
+++ b/Programs/hemlockgladed/Gateway/GatewayStatus.h
@@ -5,7 +5,7 @@
 
 namespace hemlockglade::gateway {
 
-/// Statuses that the gateway gives or looks at.
+/// HTTP statuses that the gateway sends or interprets.
 inline constexpr std::uint16_t Ok = 200;
 inline constexpr std::uint16_t FirstRedirect = 300;
 inline constexpr std::uint16_t BadRequest = 400;
@@ -19,18 +19,19 @@
 inline constexpr std::uint16_t Unavailable = 503;
 inline constexpr std::uint16_t GatewayTimeout = 504;
 
-/// Whether a status tells of success.
+/// Whether the status means success (2xx).
 inline bool isSuccess(std::uint16_t status) {
   return status >= Ok && status < FirstRedirect;
 }
 
-/// Whether a status tells a caller that its request has not run.
+/// Whether a caller may conclude from the status that its request has not run.
 inline bool promisesNotRun(std::uint16_t status) {
   return status == RequestTimeout || status == OtherIncarnation ||
          status == TooMany || status == Unavailable;
 }
 
-/// Fields as views, for the label hooks.
+/// Returns views of the fields, for the label hooks. They are valid as long as
+/// `fields`.
 inline LabelFields viewsOf(const HeaderFields &fields) {
   LabelFields out;
   out.reserve(fields.size());
@@ -39,7 +40,7 @@
   return out;
 }
 
-/// Fields as the transport sends them.
+/// Returns the fields in the transport's form.
 inline HeaderFields fieldsOf(const OwnedFields &fields) {
   HeaderFields out;
   for (const auto &[name, value] : fields)
@@ -47,11 +48,11 @@
   return out;
 }
 
-/// When to come back, in seconds with two decimals.
+/// Returns a `Retry-After` field, in seconds with two decimals.
 inline HeaderField retryAfterField(Span span) {
-  constexpr std::size_t PointAndDecimals = 3;
+  constexpr std::size_t FractionLength = 3;
   auto text = std::to_string(inSeconds(span));
-  return {"Retry-After", text.substr(0, text.find('.') + PointAndDecimals)};
+  return {"Retry-After", text.substr(0, text.find('.') + FractionLength)};
 }
 
 } // namespace hemlockglade::gateway
--- a/Programs/hemlockgladed/Gateway/PlatformPort.h
+++ b/Programs/hemlockgladed/Gateway/PlatformPort.h
@@ -7,32 +7,35 @@
 
 namespace hemlockglade {
 
-/// Who asks for addresses, and from where.
+/// A caller's request for the addresses of the nodes in service.
 struct AddressQuery {
+  /// Failure domain that the caller is in; empty if it isn't given.
   std::string FailureDomain;
 };
 
-/// How a caller's question for addresses is read and answered.
+/// Parses and answers callers' requests for addresses and for readiness.
 struct DirectoryHooks {
-  /// Nothing if the target is no such question.
+  /// Parses a request target; nothing if it doesn't ask for addresses.
   std::function<std::optional<AddressQuery>(std::string_view target)> Read;
+  /// Returns the body of the answer.
   std::function<std::string(const std::vector<std::string> &addresses,
                             Span timeToLive)>
       Write;
-  /// Whether a target asks for readiness.
+  /// Returns whether a request target asks for the node's readiness.
   std::function<bool(std::string_view target)> AsksReadiness;
 };
 
-/// Everything that the gateway needs of the outside, in its own terms.
+/// What the gateway uses of the platform: the registry, the table, the engines'
+/// control calls, and the formats of labels and addresses.
 struct PlatformPort {
   RegistryHooks Registry;
   TableHooks Table;
   EngineHooks Engines;
   LabelHooks Labels;
   DirectoryHooks Directory;
-  /// Drops connections that rested too long.
+  /// Closes connections that were idle for too long.
   std::function<void()> Tidy;
-  /// Calls made to the registry and table so far.
+  /// Returns the number of calls made to the registry and the table so far.
   std::function<RegistryCalls()> Calls;
 };
 
--- a/Programs/hemlockgladed/Gateway/RegistryWatcher.cpp
+++ b/Programs/hemlockgladed/Gateway/RegistryWatcher.cpp
@@ -4,35 +4,36 @@
 
 RegistryWatcher::RegistryWatcher(TimerService &timers, RegistryHooks registry,
                                  Settings settings, Hooks hooks, EventLog &log)
-    : Timers(timers), Registry(std::move(registry)), Setup(settings),
-      Out(std::move(hooks)), Log(log), OperatorPause(Setup.Poll.RetryPause),
-      ReplicaPause(Setup.Poll.RetryPause) {}
+    : Timers(timers), Registry(std::move(registry)), Options(settings),
+      Callbacks(std::move(hooks)), Log(log),
+      OperatorRetryDelay(Options.Poll.RetryPause),
+      ReplicaRetryDelay(Options.Poll.RetryPause) {}
 
-void RegistryWatcher::start(Span firstLookAfter) {
-  planOperator(firstLookAfter);
-  planReplicas(firstLookAfter);
+void RegistryWatcher::start(Span initialDelay) {
+  scheduleOperatorPoll(initialDelay);
+  scheduleReplicaPoll(initialDelay);
 }
 
-bool RegistryWatcher::unreachableLately() const {
-  auto failedAt = std::max(OperatorLook.FailedAt, ReplicaLook.FailedAt);
-  return TimerService::now() - failedAt < Setup.LapseWindow;
+bool RegistryWatcher::wasUnreachableRecently() const {
+  auto failedAt = std::max(OperatorPoll.FailedAt, ReplicaPoll.FailedAt);
+  return TimerService::now() - failedAt < Options.LapseWindow;
 }
 
-void RegistryWatcher::note(LookState &look, bool good) {
+void RegistryWatcher::recordResult(PollState &poll, bool succeeded) {
   auto now = TimerService::now();
-  if (!good)
-    look.FailedAt = now;
-  if (good == look.Good)
+  if (!succeeded)
+    poll.FailedAt = now;
+  if (succeeded == poll.Reachable)
     return;
-  // Each kind of look by itself: that one is answered again says nothing of the
-  // other, whose call may still be open on a connection that is dead.
-  look.Good = good;
-  if (good)
+  // Each kind of poll has its own state: that one succeeds again doesn't mean
+  // the other does, whose call may still be open on a dead connection.
+  poll.Reachable = succeeded;
+  if (succeeded)
     Log.write(LogClass::State, "registry-regained",
-              {{"look", look.Name}, {"lost_for_ms", now - look.LostAt}});
+              {{"look", poll.Name}, {"lost_for_ms", now - poll.ChangedAt}});
   else
-    Log.write(LogClass::State, "registry-lost", {{"look", look.Name}});
-  look.LostAt = now;
+    Log.write(LogClass::State, "registry-lost", {{"look", poll.Name}});
+  poll.ChangedAt = now;
 }
 
 void RegistryWatcher::logDeclared(const OperatorChanges &changes,
@@ -44,118 +45,121 @@
              {"plan", changes.Plan ? changes.Plan->version() : 0},
              {"weights", static_cast<std::uint64_t>(changes.Versions.size())},
              {"position", changes.Position},
-             {"asked_ms_ago", TimerService::now() - OperatorAskedAt},
+             {"asked_ms_ago", TimerService::now() - OperatorPolledAt},
              {"known_ms_ago", operatorAge()}});
 }
 
-Span RegistryWatcher::spared(Instant seenAt, Instant toldAt, Span period,
-                             Span oldest) const {
+Span RegistryWatcher::pollDelay(Instant currentAt, Instant updatedAt,
+                                Span period, Span maxAge) const {
   auto now = TimerService::now();
-  if (Out.InformsPeers())
+  if (Callbacks.InformsPeers())
     return Span(0);
-  // A node that stands by leaves it to others for longer, but callers may come
-  // to it, and the registry may turn away just those who tell.
-  if (standsBy())
-    return std::max(Span(0),
-                    std::min(toldAt + Setup.StandbySilence, seenAt + oldest) -
-                        now);
-  if (now - ToldAt > Setup.OwnerSilence)
+  // A standby node leaves polling to others for longer. Its limit is an age, as
+  // it may also get callers, and the registry may refuse just the owners.
+  if (isStandby())
+    return std::max(Span(0), std::min(updatedAt + Options.StandbyOwnerTimeout,
+                                      currentAt + maxAge) -
+                                 now);
+  if (now - LastUpdateAt > Options.OwnerTimeout)
     return Span(0);
-  auto until = seenAt + period + Setup.PeerUpdateSlack;
+  auto until = currentAt + period + Options.PeerUpdateSlack;
   return std::max(Span(0), until - now);
 }
 
-void RegistryWatcher::planOperator(Span pause) {
-  Timers.after(pause, [this](Instant) { lookAtOperator(); });
+void RegistryWatcher::scheduleOperatorPoll(Span delay) {
+  Timers.after(delay, [this](Instant) { pollOperator(); });
 }
 
-void RegistryWatcher::planReplicas(Span pause) {
-  Timers.after(pause, [this](Instant) { lookAtReplicas(); });
+void RegistryWatcher::scheduleReplicaPoll(Span delay) {
+  Timers.after(delay, [this](Instant) { pollReplicas(); });
 }
 
-void RegistryWatcher::lookAtOperator() {
-  auto left = OperatorPosition ? spared(OperatorSeenAt, OperatorToldAt,
-                                        Setup.Poll.MaxOperatorWait,
-                                        Setup.Poll.MaxOperatorAge)
+void RegistryWatcher::pollOperator() {
+  auto left = OperatorPosition ? pollDelay(OperatorCurrentAt, OperatorUpdateAt,
+                                           Options.Poll.MaxOperatorWait,
+                                           Options.Poll.MaxOperatorAge)
                                : Span(0);
   if (left > Span(0))
-    return planOperator(left);
-  OperatorAskedAt = TimerService::now();
-  auto done = [this](const auto &result) { onOperator(result); };
+    return scheduleOperatorPoll(left);
+  OperatorPolledAt = TimerService::now();
+  auto done = [this](const auto &result) { onOperatorPolled(result); };
   if (!OperatorPosition) {
-    OperatorWaits = Span(0);
+    OperatorWait = Span(0);
     return Registry.ReadOperator(done);
   }
-  // A registry that has just failed is asked for an answer at once: a wait
-  // would only make it later known that this look is lost as well.
-  OperatorWaits = OperatorLook.Good ? Setup.Poll.MaxOperatorWait : Span(0);
-  Registry.WatchOperator(*OperatorPosition, OperatorWaits, done);
+  // After a failure the poll is sent without a wait, which would only delay
+  // the detection that this poll is lost as well.
+  OperatorWait =
+      OperatorPoll.Reachable ? Options.Poll.MaxOperatorWait : Span(0);
+  Registry.WatchOperator(*OperatorPosition, OperatorWait, done);
 }
 
-void RegistryWatcher::onOperator(
+void RegistryWatcher::onOperatorPolled(
     const tl::expected<OperatorChanges, RegistryError> &result) {
   if (result) {
-    note(OperatorLook, true);
-    OperatorPause = Setup.Poll.RetryPause;
-    takeOperator(*result, "registry");
-    // The answer is surely as new as the question, and one without changes as
-    // new as the end of its wait. Nothing else speaks for the declarations.
+    recordResult(OperatorPoll, true);
+    OperatorRetryDelay = Options.Poll.RetryPause;
+    applyOperator(*result, "registry");
+    // The answer is surely as new as the request, and one without changes as
+    // new as the end of its wait. Polls of replicas don't confirm declarations.
     bool changed = result->Any || result->Plan || !result->Versions.empty();
-    auto seenAt = OperatorAskedAt + (changed ? Span(0) : OperatorWaits);
-    seenAt = std::min(seenAt, TimerService::now());
-    OperatorSeenAt = std::max(OperatorSeenAt, seenAt);
-    OperatorSureAt = std::max(OperatorSureAt, seenAt);
-    return lookAtOperator();
+    auto currentAt = OperatorPolledAt + (changed ? Span(0) : OperatorWait);
+    currentAt = std::min(currentAt, TimerService::now());
+    OperatorCurrentAt = std::max(OperatorCurrentAt, currentAt);
+    OperatorConfirmedAt = std::max(OperatorConfirmedAt, currentAt);
+    return pollOperator();
   }
   if (result.error() == RegistryError::HistoryGone) {
     OperatorPosition.reset();
-    return lookAtOperator();
+    return pollOperator();
   }
-  bool first = OperatorLook.Good;
-  note(OperatorLook, false);
-  planOperator(pauseAfter(first, OperatorPosition.has_value(), OperatorPause));
+  bool firstFailure = OperatorPoll.Reachable;
+  recordResult(OperatorPoll, false);
+  scheduleOperatorPoll(retryDelay(firstFailure, OperatorPosition.has_value(),
+                                  OperatorRetryDelay));
 }
 
 void RegistryWatcher::onDeclared(Span age, Instant askedAt) {
-  DeclaredSeenAt = std::max(DeclaredSeenAt, askedAt - age);
+  DeclaredCurrentAt = std::max(DeclaredCurrentAt, askedAt - age);
 }
 
-OperatorChanges RegistryWatcher::dated(OperatorChanges changes) const {
-  // What was not known when the declarations were last sure was declared later.
-  // A peer's word counts for nothing here: what it told may come again.
+OperatorChanges RegistryWatcher::withNotBefore(OperatorChanges changes) const {
+  // What was unknown when the declarations were last confirmed was declared
+  // later. `DeclaredCurrentAt` doesn't count here: a peer may send what it sent
+  // on request once more.
   for (auto &it : changes.Versions)
-    it.NotBefore = std::max(it.NotBefore, OperatorSureAt);
+    it.NotBefore = std::max(it.NotBefore, OperatorConfirmedAt);
   return changes;
 }
 
 void RegistryWatcher::confirm(std::function<void(bool known)> done) {
-  ConfirmNext.push_back(std::move(done));
-  planConfirm();
+  PendingConfirms.push_back(std::move(done));
+  scheduleConfirm();
 }
 
-void RegistryWatcher::planConfirm() {
-  if (ConfirmPlanned || ConfirmNumber || ConfirmNext.empty())
+void RegistryWatcher::scheduleConfirm() {
+  if (ConfirmScheduled || ConfirmNumber || PendingConfirms.empty())
     return;
-  ConfirmPlanned = true;
-  auto due = ConfirmedAt + Setup.ConfirmInterval - TimerService::now();
-  Timers.after(std::max(Span(0), due), [this](Instant) { lookToConfirm(); });
+  ConfirmScheduled = true;
+  auto due = ConfirmPolledAt + Options.ConfirmInterval - TimerService::now();
+  Timers.after(std::max(Span(0), due), [this](Instant) { pollToConfirm(); });
 }
 
-void RegistryWatcher::lookToConfirm() {
-  ConfirmPlanned = false;
-  Confirming = std::exchange(ConfirmNext, {});
-  ConfirmedAt = TimerService::now();
-  auto number = ConfirmNumber = ++LastConfirm;
-  auto askedAt = ConfirmedAt;
-  Timers.after(Setup.ConfirmTimeout,
-               [this, number](Instant) { endConfirm(number, false); });
+void RegistryWatcher::pollToConfirm() {
+  ConfirmScheduled = false;
+  ActiveConfirms = std::exchange(PendingConfirms, {});
+  ConfirmPolledAt = TimerService::now();
+  auto number = ConfirmNumber = ++LastConfirmNumber;
+  auto askedAt = ConfirmPolledAt;
+  Timers.after(Options.ConfirmTimeout,
+               [this, number](Instant) { finishConfirm(number, false); });
   auto done = [this, number, askedAt](const auto &result) {
     if (result) {
-      takeOperator(*result, "look before a denial");
-      OperatorSeenAt = std::max(OperatorSeenAt, askedAt);
-      OperatorSureAt = std::max(OperatorSureAt, askedAt);
+      applyOperator(*result, "look before a denial");
+      OperatorCurrentAt = std::max(OperatorCurrentAt, askedAt);
+      OperatorConfirmedAt = std::max(OperatorConfirmedAt, askedAt);
     }
-    endConfirm(number, result.has_value());
+    finishConfirm(number, result.has_value());
   };
   if (OperatorPosition)
     Registry.WatchOperator(*OperatorPosition, Span(0), done);
@@ -163,83 +167,85 @@
     Registry.ReadOperator(done);
 }
 
-void RegistryWatcher::endConfirm(std::uint64_t number, bool known) {
+void RegistryWatcher::finishConfirm(std::uint64_t number, bool known) {
   if (ConfirmNumber != number)
     return;
   ConfirmNumber = 0;
-  for (const auto &it : std::exchange(Confirming, {}))
+  for (const auto &it : std::exchange(ActiveConfirms, {}))
     it(known);
-  planConfirm();
+  scheduleConfirm();
 }
 
-Span RegistryWatcher::pauseAfter(bool firstFailure, bool knowsSome,
-                                 Span &pause) const {
-  // One lost look has already taken most of the bound, and need not mean more
-  // than a dead connection.
-  if (firstFailure && knowsSome)
+Span RegistryWatcher::retryDelay(bool firstFailure, bool hasState,
+                                 Span &delay) const {
+  // One lost poll has already taken most of the bound, and may be due only to
+  // a dead connection, so the next one follows at once.
+  if (firstFailure && hasState)
     return Span(0);
-  auto now = pause;
-  if (knowsSome)
-    pause = std::min(Setup.Poll.MaxRetryPause, pause * 2);
-  return standsBy() ? std::max(now, Setup.StandbyPause) : now;
+  auto now = delay;
+  if (hasState)
+    delay = std::min(Options.Poll.MaxRetryPause, delay * 2);
+  return isStandby() ? std::max(now, Options.MinStandbyRetryDelay) : now;
 }
 
-void RegistryWatcher::takeOperator(const OperatorChanges &told,
-                                   std::string_view from) {
-  auto changes = dated(told);
+void RegistryWatcher::applyOperator(const OperatorChanges &reported,
+                                    std::string_view from) {
+  auto changes = withNotBefore(reported);
   logDeclared(changes, from);
-  // What was told meanwhile may be newer. Plans and versions only ever rise.
+  // Updates received meanwhile may be newer. Versions of plans and of weights
+  // only ever increase, so applying older ones is harmless.
   OperatorPosition = std::max(OperatorPosition.value_or(0), changes.Position);
-  bool news = Seen.onOperator(changes);
-  Out.OnOperator(changes);
-  if (news)
-    Out.OnUpdate();
+  bool changed = ChangeLog.onOperator(changes);
+  Callbacks.OnOperator(changes);
+  if (changed)
+    Callbacks.OnUpdate();
 }
 
-void RegistryWatcher::lookAtReplicas() {
-  auto left = ReplicaPosition
-                  ? spared(ReplicasSeenAt, ReplicasToldAt,
-                           Setup.Poll.ReplicaPeriod, Setup.Poll.MaxReplicaAge)
-                  : Span(0);
+void RegistryWatcher::pollReplicas() {
+  auto left = ReplicaPosition ? pollDelay(ReplicasCurrentAt, ReplicaUpdateAt,
+                                          Options.Poll.ReplicaPeriod,
+                                          Options.Poll.MaxReplicaAge)
+                              : Span(0);
   if (left > Span(0))
-    return planReplicas(left);
-  ReplicasAskedAt = TimerService::now();
-  auto done = [this](const auto &result) { onReplicas(result); };
+    return scheduleReplicaPoll(left);
+  ReplicasPolledAt = TimerService::now();
+  auto done = [this](const auto &result) { onReplicasPolled(result); };
   if (ReplicaPosition)
     Registry.WatchReplicas(*ReplicaPosition, done);
   else
     Registry.ReadReplicas(done);
 }
 
-void RegistryWatcher::onReplicas(
+void RegistryWatcher::onReplicasPolled(
     const tl::expected<ReplicaChanges, RegistryError> &result) {
   if (result) {
-    note(ReplicaLook, true);
-    ReplicaPause = Setup.Poll.RetryPause;
-    // An answer from before what was told meanwhile would bring back replicas
-    // that are gone.
+    recordResult(ReplicaPoll, true);
+    ReplicaRetryDelay = Options.Poll.RetryPause;
+    // An answer that is older than the updates received meanwhile would bring
+    // back replicas that were removed.
     if (result->Position >= ReplicaPosition.value_or(0)) {
-      ReplicasSeenAt = std::max(ReplicasSeenAt, ReplicasAskedAt);
-      takeReplicas(*result, unreachableLately());
+      ReplicasCurrentAt = std::max(ReplicasCurrentAt, ReplicasPolledAt);
+      applyReplicas(*result, wasUnreachableRecently());
     }
-    return planReplicas(Setup.Poll.ReplicaPeriod);
+    return scheduleReplicaPoll(Options.Poll.ReplicaPeriod);
   }
   if (result.error() == RegistryError::HistoryGone) {
     ReplicaPosition.reset();
-    return lookAtReplicas();
+    return pollReplicas();
   }
-  bool first = ReplicaLook.Good;
-  note(ReplicaLook, false);
-  planReplicas(pauseAfter(first, ReplicaPosition.has_value(), ReplicaPause));
+  bool firstFailure = ReplicaPoll.Reachable;
+  recordResult(ReplicaPoll, false);
+  scheduleReplicaPoll(
+      retryDelay(firstFailure, ReplicaPosition.has_value(), ReplicaRetryDelay));
 }
 
-void RegistryWatcher::takeReplicas(const ReplicaChanges &changes,
-                                   bool unreachable) {
+void RegistryWatcher::applyReplicas(const ReplicaChanges &changes,
+                                    bool unreachable) {
   ReplicaPosition = changes.Position;
-  bool news = Seen.onReplicas(changes);
-  Out.OnReplicas(changes, unreachable);
-  if (news)
-    Out.OnUpdate();
+  bool changed = ChangeLog.onReplicas(changes);
+  Callbacks.OnReplicas(changes, unreachable);
+  if (changed)
+    Callbacks.OnUpdate();
 }
 
 RegistryPositions RegistryWatcher::positions() const {
@@ -250,10 +256,10 @@
 RegistryWatcher::updateSince(const RegistryPositions &known) const {
   auto now = TimerService::now();
   RegistryUpdate out;
-  if (auto all = Seen.operators().since(known.Operator)) {
+  if (auto all = ChangeLog.operators().since(known.Operator)) {
     out.OperatorFrom = known.Operator;
-    out.OperatorPosition = Seen.operators().position();
-    out.OperatorAgeUs = (now - OperatorSureAt).count();
+    out.OperatorPosition = ChangeLog.operators().position();
+    out.OperatorAgeUs = (now - OperatorConfirmedAt).count();
     for (const auto &it : *all) {
       DeclaredNotice notice{it.Plan ? it.Plan->Source : "", {}};
       for (const auto &at : it.Versions)
@@ -262,10 +268,10 @@
       out.Declared.push_back(std::move(notice));
     }
   }
-  if (auto all = Seen.replicas().since(known.Replica)) {
+  if (auto all = ChangeLog.replicas().since(known.Replica)) {
     out.ReplicaFrom = known.Replica;
-    out.ReplicaPosition = Seen.replicas().position();
-    out.ReplicaAgeUs = (now - ReplicasSeenAt).count();
+    out.ReplicaPosition = ChangeLog.replicas().position();
+    out.ReplicaAgeUs = (now - ReplicasCurrentAt).count();
     for (const auto &it : *all) {
       RegisteredNotice notice{{}, it.Removed};
       for (const auto &at : it.Present)
@@ -273,51 +279,51 @@
       out.Registered.push_back(std::move(notice));
     }
   }
-  out.Unreachable = unreachableLately();
+  out.Unreachable = wasUnreachableRecently();
   return out;
 }
 
-void RegistryWatcher::onBriefed(const RegistryPositions &knows,
+void RegistryWatcher::onBriefed(const RegistryPositions &peerPositions,
                                 Span operatorAge, Span replicasAge,
                                 Instant askedAt) {
   auto now = TimerService::now();
-  if (!OperatorPosition && knows.Operator) {
-    OperatorPosition = knows.Operator;
-    Seen.restartOperators(knows.Operator);
-    OperatorToldAt = now;
-    OperatorSeenAt = now - operatorAge;
-    OperatorSureAt = std::max(OperatorSureAt, askedAt - operatorAge);
+  if (!OperatorPosition && peerPositions.Operator) {
+    OperatorPosition = peerPositions.Operator;
+    ChangeLog.restartOperators(peerPositions.Operator);
+    OperatorUpdateAt = now;
+    OperatorCurrentAt = now - operatorAge;
+    OperatorConfirmedAt = std::max(OperatorConfirmedAt, askedAt - operatorAge);
   }
-  if (!ReplicaPosition && knows.Replica) {
-    ReplicaPosition = knows.Replica;
-    Seen.onReplicas({false, {}, {}, knows.Replica});
-    ReplicasToldAt = now;
-    ReplicasSeenAt = now - replicasAge;
+  if (!ReplicaPosition && peerPositions.Replica) {
+    ReplicaPosition = peerPositions.Replica;
+    ChangeLog.onReplicas({false, {}, {}, peerPositions.Replica});
+    ReplicaUpdateAt = now;
+    ReplicasCurrentAt = now - replicasAge;
   }
 }
 
-void RegistryWatcher::onPeerUpdate(const RegistryUpdate &news,
+void RegistryWatcher::onPeerUpdate(const RegistryUpdate &update,
                                    Instant sentAfter) {
   auto now = TimerService::now();
-  if (!news.OperatorPosition && !news.ReplicaPosition)
+  if (!update.OperatorPosition && !update.ReplicaPosition)
     return;
-  ToldAt = now;
-  takeDeclared(news, now, sentAfter);
-  takeRegistered(news, now);
+  LastUpdateAt = now;
+  applyDeclaredUpdate(update, now, sentAfter);
+  applyReplicaUpdate(update, now);
 }
 
-void RegistryWatcher::takeDeclared(const RegistryUpdate &news, Instant now,
-                                   Instant sentAfter) {
-  bool follows = OperatorPosition && *OperatorPosition >= news.OperatorFrom &&
-                 *OperatorPosition <= news.OperatorPosition;
-  if (!news.OperatorPosition || !follows)
+void RegistryWatcher::applyDeclaredUpdate(const RegistryUpdate &update,
+                                          Instant now, Instant sentAfter) {
+  bool follows = OperatorPosition && *OperatorPosition >= update.OperatorFrom &&
+                 *OperatorPosition <= update.OperatorPosition;
+  if (!update.OperatorPosition || !follows)
     return;
-  // All of it or nothing: a position that has passed what could not be read is
-  // never asked for again.
+  // Applied as a whole or not at all: once the position has passed an entry
+  // that can't be parsed, that entry is never requested again.
   std::vector<OperatorChanges> all;
-  for (const auto &it : news.Declared) {
+  for (const auto &it : update.Declared) {
     OperatorChanges changes;
-    changes.Position = news.OperatorPosition;
+    changes.Position = update.OperatorPosition;
     if (!it.PlanText.empty()) {
       changes.Plan = Registry.ParsePlan(it.PlanText);
       if (!changes.Plan)
@@ -329,24 +335,25 @@
     all.push_back(std::move(changes));
   }
   for (const auto &it : all)
-    takeOperator(it, "owner");
-  OperatorToldAt = now;
-  OperatorPosition = news.OperatorPosition;
-  Seen.onOperator({nullptr, {}, news.OperatorPosition});
-  auto age = Span(news.OperatorAgeUs);
-  OperatorSeenAt = std::max(OperatorSeenAt, now - age);
-  OperatorSureAt = std::max(OperatorSureAt, sentAfter - age);
+    applyOperator(it, "owner");
+  OperatorUpdateAt = now;
+  OperatorPosition = update.OperatorPosition;
+  ChangeLog.onOperator({nullptr, {}, update.OperatorPosition});
+  auto age = Span(update.OperatorAgeUs);
+  OperatorCurrentAt = std::max(OperatorCurrentAt, now - age);
+  OperatorConfirmedAt = std::max(OperatorConfirmedAt, sentAfter - age);
 }
 
-void RegistryWatcher::takeRegistered(const RegistryUpdate &news, Instant now) {
-  bool follows = ReplicaPosition && *ReplicaPosition >= news.ReplicaFrom &&
-                 *ReplicaPosition <= news.ReplicaPosition;
-  if (!news.ReplicaPosition || !follows)
+void RegistryWatcher::applyReplicaUpdate(const RegistryUpdate &update,
+                                         Instant now) {
+  bool follows = ReplicaPosition && *ReplicaPosition >= update.ReplicaFrom &&
+                 *ReplicaPosition <= update.ReplicaPosition;
+  if (!update.ReplicaPosition || !follows)
     return;
   std::vector<ReplicaChanges> all;
-  for (const auto &it : news.Registered) {
+  for (const auto &it : update.Registered) {
     ReplicaChanges changes;
-    changes.Position = news.ReplicaPosition;
+    changes.Position = update.ReplicaPosition;
     changes.Removed = it.Removed;
     for (const auto &[id, source] : it.Present) {
       auto record = Registry.ParseReplica(id, source);
@@ -357,11 +364,12 @@
     all.push_back(std::move(changes));
   }
   for (const auto &it : all)
-    takeReplicas(it, unreachableLately() || news.Unreachable);
-  ReplicasToldAt = now;
-  ReplicaPosition = news.ReplicaPosition;
-  Seen.onReplicas({false, {}, {}, news.ReplicaPosition});
-  ReplicasSeenAt = std::max(ReplicasSeenAt, now - Span(news.ReplicaAgeUs));
+    applyReplicas(it, wasUnreachableRecently() || update.Unreachable);
+  ReplicaUpdateAt = now;
+  ReplicaPosition = update.ReplicaPosition;
+  ChangeLog.onReplicas({false, {}, {}, update.ReplicaPosition});
+  ReplicasCurrentAt =
+      std::max(ReplicasCurrentAt, now - Span(update.ReplicaAgeUs));
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/RegistryWatcher.h
+++ b/Programs/hemlockgladed/Gateway/RegistryWatcher.h
@@ -8,160 +8,186 @@
 
 namespace hemlockglade {
 
-/// Keeps one node up to date with the registry: waits for what operators
-/// declare, and looks at the replicas again and again. A node that an owner
-/// tells of both does not look itself while what it is told is fresh.
+/// Keeps one node's copy of the registry current: long-polls operators'
+/// declarations and polls the replicas periodically. A node that receives
+/// updates of both from an owner does not poll while these are recent enough.
 class RegistryWatcher {
 public:
   struct Settings {
     RegistryPollSettings Poll;
-    /// How much older than the longest time between looks what a node is told
-    /// may become before it looks itself: the time between two beats of an
-    /// owner, 300 ms, and their way.
+    /// How much older than the poll interval the state from an owner's updates
+    /// may become before the node polls itself: an owner's heartbeat interval,
+    /// 300 ms, and the time that a message takes.
     Span PeerUpdateSlack = std::chrono::milliseconds(350);
-    /// An owner that has been silent for this long, two beats, tells no more.
-    Span OwnerSilence = std::chrono::milliseconds(700);
-    /// The same for a node that stands by, which hears another owner then.
-    Span StandbySilence = std::chrono::milliseconds(3000);
-    /// Least pause after a look that failed, of a node that stands by. It asks
-    /// others as well, so that few need to look while the registry is away.
-    Span StandbyPause = std::chrono::milliseconds(1500);
-    /// A registry that failed this recently may have let entries lapse.
+    /// An owner from which no update has come for this long, two heartbeat
+    /// intervals, counts as lost.
+    Span OwnerTimeout = std::chrono::milliseconds(700);
+    /// The same for a standby node: by then it receives another owner's
+    /// updates.
+    Span StandbyOwnerTimeout = std::chrono::milliseconds(3000);
+    /// Minimum delay after a failed poll of a standby node. It requests the
+    /// state from other nodes as well, so that few poll while the registry is
+    /// unavailable.
+    Span MinStandbyRetryDelay = std::chrono::milliseconds(1500);
+    /// How long after a failed poll missing entries may have lapsed only
+    /// because their heartbeats could not reach the registry.
     Span LapseWindow = std::chrono::milliseconds(4000);
-    /// How long who wants the newest declarations waits for them: an answer
-    /// takes some 10 ms.
+    /// Timeout of `confirm`. An answer of the registry takes some 10 ms.
     Span ConfirmTimeout = std::chrono::milliseconds(250);
-    /// Least time between two looks that are made for that, and age up to which
-    /// what is known needs none: it bounds what callers with wrong keys cost.
+    /// Minimum interval between two polls of `confirm`, and the age up to which
+    /// declarations need none. It bounds the calls that callers with wrong keys
+    /// cause.
     Span ConfirmInterval = std::chrono::milliseconds(100);
   };
   struct Hooks {
+    /// Called with changed declarations.
     std::function<void(const OperatorChanges &)> OnOperator;
+    /// Called with changed replicas; `unreachable` if entries may have lapsed
+    /// only because the registry could not be reached.
     std::function<void(const ReplicaChanges &, bool unreachable)> OnReplicas;
-    /// Whether this node tells others, so that it has to look itself.
+    /// Returns whether this node sends updates to others, so that it has to
+    /// poll itself.
     std::function<bool()> InformsPeers;
-    /// Whether this node serves no callers, so that it can leave looks to
-    /// others for longer; never if not set.
+    /// Returns whether this node is on standby, so that it can leave polling to
+    /// others for longer; unset means never.
     std::function<bool()> StandsBy;
-    /// There is something new to tell.
+    /// Called when there are new changes to send to other nodes.
     std::function<void()> OnUpdate;
   };
 
   RegistryWatcher(TimerService &timers, RegistryHooks registry,
                   Settings settings, Hooks hooks, EventLog &log);
 
-  /// Looks for the first time after a while, unless another node tells all
-  /// before.
-  void start(Span firstLookAfter);
-  /// An owner tells what it saw; it sent that after `sentAfter`.
-  void onPeerUpdate(const RegistryUpdate &news, Instant sentAfter);
-  /// Another node has told all that it knows, complete up to these positions.
-  /// From there on this node goes by news; what it has seen itself holds. The
-  /// node that tells was asked at `askedAt`.
-  void onBriefed(const RegistryPositions &knows, Span operatorAge,
+  /// Starts polling after a delay. What another node has sent by then needs no
+  /// poll.
+  void start(Span initialDelay);
+  /// Called with an owner's update, which was sent after `sentAfter`.
+  void onPeerUpdate(const RegistryUpdate &update, Instant sentAfter);
+  /// Called when another node has sent its whole state, which is complete up
+  /// to these positions and was requested at `askedAt`. Updates apply from
+  /// there on. A kind of which this node has state already is not changed.
+  void onBriefed(const RegistryPositions &peerPositions, Span operatorAge,
                  Span replicasAge, Instant askedAt);
-  /// Looks at the declarations now, and calls back when all that operators had
-  /// declared at the time of the call is known, or can't be had in time.
+  /// Polls the declarations at once. `done` is called with true when everything
+  /// that was declared before this call is known, or with false if the poll
+  /// failed or timed out.
   void confirm(std::function<void(bool known)> done);
-  /// What to tell a node that knows the registry up to these positions.
+  /// Returns the update for a node that has the registry's state up to these
+  /// positions. A kind is left out if its changes since then are not kept.
   RegistryUpdate updateSince(const RegistryPositions &known) const;
+  /// Returns the positions up to which the state is known; 0 if it is unknown.
   RegistryPositions positions() const;
-  /// Whether the last looks of both kinds succeeded.
-  bool reachable() const { return OperatorLook.Good && ReplicaLook.Good; }
-  /// How long ago declarations, and replicas, were surely as this node knows
-  /// them.
-  Span operatorAge() const { return TimerService::now() - OperatorSeenAt; }
-  /// Another node has told all that it knows of the declarations, which was
-  /// the newest so long before it was asked.
+  /// Whether the last polls of both kinds succeeded.
+  bool reachable() const {
+    return OperatorPoll.Reachable && ReplicaPoll.Reachable;
+  }
+  /// Age of the declarations: how long ago they were surely as this node has
+  /// them. `replicasAge` is the same for replicas.
+  Span operatorAge() const { return TimerService::now() - OperatorCurrentAt; }
+  /// Called when another node has sent all declarations that it has, which were
+  /// current `age` before `askedAt`, when they were requested.
   void onDeclared(Span age, Instant askedAt);
-  /// How long ago declarations were surely as this node knows them, by the
-  /// registry or by what another node told.
+  /// Age of the declarations by the registry or by what other nodes sent on
+  /// request.
   Span declaredAge() const {
-    return TimerService::now() - std::max(OperatorSeenAt, DeclaredSeenAt);
+    return TimerService::now() - std::max(OperatorCurrentAt, DeclaredCurrentAt);
+  }
+  /// Age of the declarations as it is sent to other nodes. Delays of messages
+  /// to this node never make it shorter.
+  Span confirmedAge() const {
+    return TimerService::now() - OperatorConfirmedAt;
   }
-  /// What to tell others of that age: time that messages to this node were on
-  /// their way never makes it shorter.
-  Span confirmedAge() const { return TimerService::now() - OperatorSureAt; }
+  /// The same, also by what other nodes sent on request.
   Span confirmedDeclaredAge() const {
-    return TimerService::now() - std::max(OperatorSureAt, DeclaredSeenAt);
+    return TimerService::now() -
+           std::max(OperatorConfirmedAt, DeclaredCurrentAt);
   }
-  Span replicasAge() const { return TimerService::now() - ReplicasSeenAt; }
+  Span replicasAge() const { return TimerService::now() - ReplicasCurrentAt; }
 
 private:
-  void lookAtOperator();
-  void lookAtReplicas();
-  void onOperator(const tl::expected<OperatorChanges, RegistryError> &result);
-  void onReplicas(const tl::expected<ReplicaChanges, RegistryError> &result);
-  /// What has become known of the declarations, with the earliest time at which
-  /// each version can have been named.
-  OperatorChanges dated(OperatorChanges changes) const;
-  void takeOperator(const OperatorChanges &told, std::string_view from);
-  void takeReplicas(const ReplicaChanges &changes, bool unreachable);
-  void takeDeclared(const RegistryUpdate &news, Instant now, Instant sentAfter);
-  void takeRegistered(const RegistryUpdate &news, Instant now);
-  void planConfirm();
-  void lookToConfirm();
-  /// Those who wait are told, whatever came of it.
-  void endConfirm(std::uint64_t number, bool known);
-  void planOperator(Span pause);
-  void planReplicas(Span pause);
-  /// How much longer nothing has to be looked at that was seen then and is
-  /// looked at once in the period.
-  /// `oldest` is how old it may become for a node that stands by.
-  Span spared(Instant seenAt, Instant toldAt, Span period, Span oldest) const;
-  /// How looks of one kind have ended lately.
-  struct LookState {
+  void pollOperator();
+  void pollReplicas();
+  void
+  onOperatorPolled(const tl::expected<OperatorChanges, RegistryError> &result);
+  void
+  onReplicasPolled(const tl::expected<ReplicaChanges, RegistryError> &result);
+  /// Returns the changes with the earliest time at which each version can have
+  /// been declared.
+  OperatorChanges withNotBefore(OperatorChanges changes) const;
+  void applyOperator(const OperatorChanges &reported, std::string_view from);
+  void applyReplicas(const ReplicaChanges &changes, bool unreachable);
+  void applyDeclaredUpdate(const RegistryUpdate &update, Instant now,
+                           Instant sentAfter);
+  void applyReplicaUpdate(const RegistryUpdate &update, Instant now);
+  /// Schedules a poll for the callers of `confirm` that have none yet.
+  void scheduleConfirm();
+  void pollToConfirm();
+  /// Calls back everyone who waits for the poll of this number.
+  void finishConfirm(std::uint64_t number, bool known);
+  void scheduleOperatorPoll(Span delay);
+  void scheduleReplicaPoll(Span delay);
+  /// Returns how long the next poll can be put off: the state was current at
+  /// `currentAt` and last updated by a peer at `updatedAt`, and is polled once
+  /// in `period`. `maxAge` is how old it may become at a standby node.
+  Span pollDelay(Instant currentAt, Instant updatedAt, Span period,
+                 Span maxAge) const;
+  /// Results of the polls of one kind.
+  struct PollState {
     std::string_view Name;
-    bool Good = true;
+    bool Reachable = true;
     Instant FailedAt{LongAgo};
-    /// Since when all of them failed.
-    Instant LostAt{LongAgo};
+    /// When `Reachable` changed last.
+    Instant ChangedAt{LongAgo};
   };
 
-  void note(LookState &look, bool good);
+  void recordResult(PollState &poll, bool succeeded);
   void logDeclared(const OperatorChanges &changes, std::string_view from);
-  bool unreachableLately() const;
-  /// The pause before the next look, after one that failed.
-  Span pauseAfter(bool firstFailure, bool knowsSome, Span &pause) const;
-  bool standsBy() const { return Out.StandsBy && Out.StandsBy(); }
+  bool wasUnreachableRecently() const;
+  /// Returns the delay of the next poll after a failed one, and increases
+  /// `delay` for the one after it.
+  Span retryDelay(bool firstFailure, bool hasState, Span &delay) const;
+  bool isStandby() const { return Callbacks.StandsBy && Callbacks.StandsBy(); }
 
   TimerService &Timers;
   RegistryHooks Registry;
-  Settings Setup;
-  Hooks Out;
+  Settings Options;
+  Hooks Callbacks;
   EventLog &Log;
   std::optional<std::uint64_t> OperatorPosition;
   std::optional<std::uint64_t> ReplicaPosition;
-  RegistryChangeLog Seen{RegistryChangeLog::Settings{}};
-  /// When the registry was as this node knows it, at the latest.
-  Instant OperatorSeenAt{LongAgo};
-  Instant ReplicasSeenAt{LongAgo};
-  /// As `OperatorSeenAt`, but counted from when this node asked, so that time
-  /// that an answer or a message was on its way never makes it later.
-  Instant OperatorSureAt{LongAgo};
-  /// When the looks under way were begun, and how long the one at declarations
-  /// may wait.
-  Instant OperatorAskedAt{};
-  Span OperatorWaits{0};
-  Instant ReplicasAskedAt{};
-  Instant ToldAt{LongAgo};
-  /// When news of each kind were last such that this node could follow them.
-  Instant OperatorToldAt{LongAgo};
-  Instant ReplicasToldAt{LongAgo};
-  LookState OperatorLook{"operator"};
-  LookState ReplicaLook{"replicas"};
-  Span OperatorPause{0};
-  Span ReplicaPause{0};
-  /// When declarations were as this node knows them, by another node's word.
-  Instant DeclaredSeenAt{LongAgo};
-  /// Who waits for a look that is yet to be made, and for the one under way.
-  std::vector<std::function<void(bool)>> ConfirmNext;
-  std::vector<std::function<void(bool)>> Confirming;
-  /// Number of the look under way; 0 if there is none.
+  RegistryChangeLog ChangeLog{RegistryChangeLog::Settings{}};
+  /// Latest time at which the registry's state surely was as this node has it.
+  Instant OperatorCurrentAt{LongAgo};
+  Instant ReplicasCurrentAt{LongAgo};
+  /// As `OperatorCurrentAt`, but counted from when this node sent its request,
+  /// so that the delay of an answer or a message never makes it later.
+  Instant OperatorConfirmedAt{LongAgo};
+  /// When the polls under way were sent, and the maximum wait of the one of
+  /// declarations.
+  Instant OperatorPolledAt{};
+  Span OperatorWait{0};
+  Instant ReplicasPolledAt{};
+  /// When an owner's update was last received.
+  Instant LastUpdateAt{LongAgo};
+  /// When an update or another node's whole state was last applied, by kind.
+  Instant OperatorUpdateAt{LongAgo};
+  Instant ReplicaUpdateAt{LongAgo};
+  PollState OperatorPoll{"operator"};
+  PollState ReplicaPoll{"replicas"};
+  Span OperatorRetryDelay{0};
+  Span ReplicaRetryDelay{0};
+  /// Latest time at which declarations were as this node has them, by what
+  /// another node sent on request.
+  Instant DeclaredCurrentAt{LongAgo};
+  /// Callbacks that wait for a poll not yet sent, and for the one under way.
+  std::vector<std::function<void(bool)>> PendingConfirms;
+  std::vector<std::function<void(bool)>> ActiveConfirms;
+  /// Number of the poll under way; 0 if there is none.
   std::uint64_t ConfirmNumber = 0;
-  std::uint64_t LastConfirm = 0;
-  Instant ConfirmedAt{LongAgo};
-  bool ConfirmPlanned = false;
+  std::uint64_t LastConfirmNumber = 0;
+  /// When the last poll for `confirm` was sent.
+  Instant ConfirmPolledAt{LongAgo};
+  bool ConfirmScheduled = false;
 };
 
 } // namespace hemlockglade
--- a/UnitTests/Node/Gateway/CallerAccessTest.cpp
+++ b/UnitTests/Node/Gateway/CallerAccessTest.cpp
@@ -10,7 +10,7 @@
   return text.find(part) != std::string::npos;
 }
 
-WorkspaceDirectory redWith(std::vector<std::string> keys) {
+WorkspaceDirectory redWorkspace(std::vector<std::string> keys) {
   WorkspaceDeclaration red;
   red.Declared.Name = "red";
   red.Keys = std::move(keys);
@@ -20,30 +20,31 @@
 /// A node with a plan in which the workspace `red` has the key `sekret-1`.
 struct AccessFixture : GatewayFixture {
   AccessFixture() {
-    Platform.Workspaces = redWith({"sekret-1"});
+    Platform.Workspaces = redWorkspace({"sekret-1"});
     Platform.declare(1, "/x/");
     Platform.registerReplica(Replica.address());
     Settings.PlanBound = milliseconds(300);
     Replica.Answer = [](const auto &) { return ScriptedReplica::Step{Hello}; };
   }
 
-  std::string askWith(const std::string &key, const std::string &path = "/x/") {
+  std::string requestWithKey(const std::string &key,
+                             const std::string &path = "/x/") {
     return ask(Settings.CallerAddress, path, "r1", key);
   }
 
-  void pass(Span span) {
+  void runFor(Span span) {
     until([end = TimerService::now() + span] {
       return TimerService::now() >= end;
     });
   }
 
-  bool said(const std::string &text) const {
+  bool hasLogged(const std::string &text) const {
     return std::any_of(Lines.begin(), Lines.end(),
                        [&text](const auto &it) { return has(it, text); });
   }
 
-  /// Nothing that this node has said or sent shows a key.
-  void checkSecret(const std::string &answer) const {
+  /// Checks that no answer, log line or forwarded field contains a key.
+  void checkKeyNotExposed(const std::string &answer) const {
     CHECK_FALSE(has(answer, "sekret"));
     for (const auto &it : Lines)
       CHECK_FALSE(has(it, "sekret"));
@@ -55,103 +56,107 @@
 
 } // namespace
 
-TEST_CASE("a request goes on with its workspace's name and without its key",
-          "[gateway][access]") {
+TEST_CASE(
+    "a request is forwarded with its workspace's name and without its key",
+    "[gateway][access]") {
   AccessFixture it;
   it.start();
   REQUIRE(it.untilReady());
-  auto answer = it.askWith("sekret-1");
+  auto answer = it.requestWithKey("sekret-1");
   CHECK(has(answer, "hello"));
   REQUIRE(it.Replica.Requests.size() == 1);
-  const auto *space = findField(it.Replica.Requests[0].Head.Fields, "Space");
-  REQUIRE(space);
-  CHECK(*space == "red");
-  it.checkSecret(answer);
+  const auto *workspace =
+      findField(it.Replica.Requests[0].Head.Fields, "Space");
+  REQUIRE(workspace);
+  CHECK(*workspace == "red");
+  it.checkKeyNotExposed(answer);
 }
 
-TEST_CASE("who shows no key, or an unknown one, is turned away",
+TEST_CASE("a request without a key or with an unknown one is refused",
           "[gateway][access]") {
   AccessFixture it;
   it.start();
   REQUIRE(it.untilReady());
   for (const auto *key : {"", "sekret-2"}) {
-    auto answer = it.askWith(key);
+    auto answer = it.requestWithKey(key);
     CHECK(has(answer, " 401 "));
-    it.checkSecret(answer);
+    it.checkKeyNotExposed(answer);
   }
-  CHECK(has(it.askWith("sekret-2", "/y/"), " 404 "));
+  CHECK(has(it.requestWithKey("sekret-2", "/y/"), " 404 "));
   CHECK(it.Replica.Requests.empty());
 }
 
-TEST_CASE("a denial goes by what was declared when the request came",
+TEST_CASE("a denial is based on the declarations as of the request's arrival",
           "[gateway][access]") {
   AccessFixture it;
   it.start();
   REQUIRE(it.untilReady());
-  // Long enough for what is known to be older than a denial may rest on.
-  it.pass(milliseconds(150));
+  // Long enough that the known declarations are too old for a denial.
+  it.runFor(milliseconds(150));
   it.Platform.Deaf = true;
-  it.Platform.Workspaces = redWith({"sekret-1", "sekret-2"});
+  it.Platform.Workspaces = redWorkspace({"sekret-1", "sekret-2"});
   it.Platform.declare(5, "/x/");
-  CHECK(has(it.askWith("sekret-2"), "hello"));
+  CHECK(has(it.requestWithKey("sekret-2"), "hello"));
   it.Platform.declare(9, "/y/");
-  // Beyond the age that all nodes keep to, which a route may have.
-  it.pass(milliseconds(260));
-  CHECK(has(it.askWith("sekret-2", "/y/"), "hello"));
+  // Beyond the age that every node keeps to, up to which a missing route needs
+  // no confirmation.
+  it.runFor(milliseconds(260));
+  CHECK(has(it.requestWithKey("sekret-2", "/y/"), "hello"));
 }
 
-TEST_CASE("wrong keys cost the registry a bounded number of looks",
+TEST_CASE("the rate of polls caused by wrong keys is bounded",
           "[gateway][access]") {
   AccessFixture it;
   it.start();
   REQUIRE(it.untilReady());
-  auto began = TimerService::now();
+  auto startedAt = TimerService::now();
   for (int n = 0; n < 30; ++n)
-    CHECK(has(it.askWith("sekret-2"), " 401 "));
-  auto most = 2 + (TimerService::now() - began) / milliseconds(100);
-  CHECK(it.Platform.LooksAtOnce <= most);
+    CHECK(has(it.requestWithKey("sekret-2"), " 401 "));
+  auto maxPolls = 2 + (TimerService::now() - startedAt) / milliseconds(100);
+  CHECK(it.Platform.LooksAtOnce <= maxPolls);
 }
 
-TEST_CASE("a node that can't know whether a key is new denies nothing",
+TEST_CASE("an unknown key is answered with 503 while declarations can't be "
+          "confirmed",
           "[gateway][access]") {
   AccessFixture it;
   it.start();
   REQUIRE(it.untilReady());
   it.Platform.goAway();
-  it.pass(milliseconds(500));
-  auto answer = it.askWith("sekret-2");
+  it.runFor(milliseconds(500));
+  auto answer = it.requestWithKey("sekret-2");
   CHECK(has(answer, " 503 "));
   CHECK(has(answer, "Retry-After"));
-  // What it knows it serves on.
-  CHECK(has(it.askWith("sekret-1"), "hello"));
-  it.checkSecret(answer);
+  // Known keys are still served.
+  CHECK(has(it.requestWithKey("sekret-1"), "hello"));
+  it.checkKeyNotExposed(answer);
 }
 
-TEST_CASE("a node that the registry turns away denies by a peer's word",
+TEST_CASE("a node that the registry refuses confirms a denial with a peer",
           "[gateway][access]") {
   AccessFixture first;
   first.start();
   REQUIRE(first.untilReady());
   SecondNode second(first);
-  second.Platform.Workspaces = redWith({"sekret-1"});
+  second.Platform.Workspaces = redWorkspace({"sekret-1"});
   second.Platform.declare(1, "/x/");
   second.Platform.registerReplica(first.Replica.address());
   second.start(first);
   second.Platform.goAway();
-  first.pass(milliseconds(500));
+  first.runFor(milliseconds(500));
   auto ask = [&](const std::string &key) {
     return first.ask(second.Settings.CallerAddress, "/x/", "r1", key);
   };
-  // The first node knows the registry as it is now.
-  CHECK(has(first.askWith("sekret-2"), " 401 "));
+  // The first node's state of the registry is current.
+  CHECK(has(first.requestWithKey("sekret-2"), " 401 "));
   CHECK(has(ask("sekret-2"), " 401 "));
-  first.Platform.Workspaces = redWith({"sekret-1", "sekret-2"});
+  first.Platform.Workspaces = redWorkspace({"sekret-1", "sekret-2"});
   first.Platform.declare(4, "/x/");
   second.Platform.Known = first.Platform.Known;
   CHECK(has(ask("sekret-2"), "hello"));
 }
 
-TEST_CASE("a revoked key ends on connections that stay open",
+TEST_CASE("a revoked key is refused on connections that stay open",
           "[gateway][access]") {
   AccessFixture it;
   it.start();
@@ -162,7 +167,7 @@
       "GET /x/ HTTP/1.1\r\nHost: a.example\r\nId: r1\r\nKey: sekret-1\r\n\r\n";
   peer.send(Request);
   REQUIRE(it.until([&] { return has(peer.Got, "hello"); }));
-  it.Platform.Workspaces = redWith({"sekret-2"});
+  it.Platform.Workspaces = redWorkspace({"sekret-2"});
   it.Platform.declare(2, "/x/");
   it.settle();
   peer.Got.clear();
@@ -171,21 +176,23 @@
   CHECK(has(peer.Got, " 401 "));
 }
 
-TEST_CASE("keys that can't be confirmed any more are served or not as set",
+TEST_CASE("keys that can't be confirmed any more are served or refused as "
+          "configured",
           "[gateway][access]") {
   AccessFixture it;
   it.Settings.RevokeBound = milliseconds(300);
   it.Settings.RevokeFailClosed = GENERATE(false, true);
   it.start();
   REQUIRE(it.untilReady());
-  CHECK(has(it.askWith("sekret-1"), "hello"));
+  CHECK(has(it.requestWithKey("sekret-1"), "hello"));
   it.Platform.goAway();
-  it.pass(milliseconds(600));
-  auto answer = it.askWith("sekret-1");
+  it.runFor(milliseconds(600));
+  auto answer = it.requestWithKey("sekret-1");
   CHECK(has(answer, it.Settings.RevokeFailClosed ? " 503 " : "hello"));
 }
 
-TEST_CASE("a limit holds at the node that keeps it", "[gateway][access]") {
+TEST_CASE("the quota server enforces a workspace's limit",
+          "[gateway][access]") {
   AccessFixture it;
   WorkspaceDeclaration red;
   red.Declared.Name = "red";
@@ -196,21 +203,21 @@
   it.Platform.HasTable = true;
   it.start();
   REQUIRE(it.untilReady());
-  REQUIRE(it.until([&] { return it.said("quota-keeper"); }));
-  it.pass(milliseconds(500));
-  auto began = TimerService::now();
+  REQUIRE(it.until([&] { return it.hasLogged("quota-keeper"); }));
+  it.runFor(milliseconds(500));
+  auto startedAt = TimerService::now();
   int served = 0;
   int limited = 0;
   for (int n = 0; n < 40; ++n) {
-    auto answer = it.askWith("sekret-1");
+    auto answer = it.requestWithKey("sekret-1");
     served += has(answer, "hello") ? 1 : 0;
     limited += has(answer, " 429 ") ? 1 : 0;
   }
-  auto passed = inSeconds(TimerService::now() - began);
+  auto elapsed = inSeconds(TimerService::now() - startedAt);
   CHECK(limited > 0);
-  // The bucket began empty some time before.
-  CHECK(served <= 3 + 2 * passed + 1);
-  CHECK(it.said("beyond its workspace's limit"));
+  // The bucket was empty when it was created, some time before.
+  CHECK(served <= 3 + 2 * elapsed + 1);
+  CHECK(it.hasLogged("beyond its workspace's limit"));
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Node/Gateway/DeclaredInTimeTest.cpp
+++ b/UnitTests/Node/Gateway/DeclaredInTimeTest.cpp
@@ -1,11 +1,8 @@
-// What users saw: a plan was confirmed, and 2.4 s later a node still answered
-// 404 to a request on a route that this plan had added. The order of events:
-// the registry falls silent; a node's look, which waits for declarations, is
-// open or sent then; the registry answers again and at once confirms a plan;
-// the look is never answered. The cause: the look was given up 3.2 s after its
-// start and the next one came up to a second later, while a plan has to be in
-// force 2 s after it was confirmed. The evidence: with silences of 0.1, 0.6,
-// 1.9 and 4 s the plan came 3.4, 2.9, 1.6 and 3.3 s after its confirmation.
+// Guards against a node that answers 404 on a route of a confirmed plan. A poll
+// of declarations that is open or sent while the registry is unresponsive is
+// never answered, also not once the registry answers again and confirms a plan.
+// If such a poll times out 3.2 s after its start and the next one follows up to
+// 1 s later, the plan comes too late: it must be in force within 2 s.
 
 #include "Programs/hemlockgladed/Gateway/RegistryWatcher.h"
 
@@ -17,82 +14,83 @@
 
 using std::chrono::milliseconds;
 
-/// The usual bound on a plan, and the time after which a call that nobody
-/// answers is given up.
+/// The default bound on plans, and the time beyond its wait after which a call
+/// without an answer fails.
 constexpr Span PlanBound = milliseconds(2000);
-constexpr Span Patience = milliseconds(700);
+constexpr Span CallTimeout = milliseconds(700);
 
-/// A registry that can fall silent. What is asked while it is, and what waits
-/// when it falls silent, is never answered, also not when it is back.
-class SilentRegistry : public Loopback {
+/// A registry that can become unresponsive. Calls that are open or made then
+/// are never answered, also not when it answers again.
+class UnresponsiveRegistry : public Loopback {
 public:
-  SilentRegistry() : Timers(Context) {}
+  UnresponsiveRegistry() : Timers(Context) {}
 
   RegistryHooks hooks() {
     RegistryHooks out;
     out.ReadOperator = [this](auto done) {
-      ask<OperatorChanges>(Span(0), done, [this] { return declared(0); });
+      addCall<OperatorChanges>(Span(0), done, [this] { return declared(0); });
     };
     out.WatchOperator = [this](std::uint64_t after, Span wait, auto done) {
       auto answer = [this, after] { return declared(after); };
-      auto open = ask<OperatorChanges>(wait, done, answer);
+      auto open = addCall<OperatorChanges>(wait, done, answer);
       if (after < Position)
         open->End();
     };
     out.ReadReplicas = [this](auto done) {
-      ask<ReplicaChanges>(Span(0), done, [this] { return registered(true); });
+      addCall<ReplicaChanges>(Span(0), done,
+                              [this] { return registered(true); });
     };
     out.WatchReplicas = [this](std::uint64_t, auto done) {
-      ask<ReplicaChanges>(Span(0), done, [this] {
-        ++ReplicaLooks;
+      addCall<ReplicaChanges>(Span(0), done, [this] {
+        ++ReplicaPolls;
         return registered(false);
       });
     };
     return out;
   }
 
-  void fallSilent() {
-    Silent = true;
-    for (const auto &it : Open)
-      it->Dead = true;
-    Open.clear();
+  void stopAnswering() {
+    Unresponsive = true;
+    for (const auto &it : OpenCalls)
+      it->NeverAnswered = true;
+    OpenCalls.clear();
   }
-  void speak() { Silent = false; }
-  /// Declares something, which is confirmed at once.
+  void answerAgain() { Unresponsive = false; }
+  /// Declares a new version, which is confirmed at once.
   void declare() {
     ++Position;
-    for (const auto &it : std::exchange(Open, {}))
+    for (const auto &it : std::exchange(OpenCalls, {}))
       it->End();
   }
 
   std::uint64_t position() const { return Position; }
-  int replicaLooks() const { return ReplicaLooks; }
+  int replicaPolls() const { return ReplicaPolls; }
 
   TimerService Timers;
 
 private:
   struct Call {
-    bool Dead = false;
-    bool Over = false;
+    bool NeverAnswered = false;
+    bool Completed = false;
     std::function<void()> End;
   };
 
   template <typename T, typename Answer>
-  std::shared_ptr<Call> ask(Span wait, RegistryCallback<T> done,
-                            Answer answer) {
+  std::shared_ptr<Call> addCall(Span wait, RegistryCallback<T> done,
+                                Answer answer) {
     auto call = std::make_shared<Call>();
-    call->Dead = Silent;
+    call->NeverAnswered = Unresponsive;
     call->End = [weak = std::weak_ptr(call), this, done, answer] {
       auto call = weak.lock();
-      if (!call || call->Dead || std::exchange(call->Over, true))
+      if (!call || call->NeverAnswered || std::exchange(call->Completed, true))
         return;
       asio::post(Context, [done, answer] { done(answer()); });
     };
-    if (!Silent)
-      Open.push_back(call);
+    if (!Unresponsive)
+      OpenCalls.push_back(call);
     Timers.after(wait, [call](Instant) { call->End(); });
-    Timers.after(wait + Patience, [call, done](Instant) {
-      if (!std::exchange(call->Over, true))
+    Timers.after(wait + CallTimeout, [call, done](Instant) {
+      if (!std::exchange(call->Completed, true))
         done(tl::unexpected(RegistryError::Unavailable));
     });
     return call;
@@ -109,15 +107,15 @@
     return {whole, {}, {}, Position};
   }
 
-  std::vector<std::shared_ptr<Call>> Open;
-  bool Silent = false;
+  std::vector<std::shared_ptr<Call>> OpenCalls;
+  bool Unresponsive = false;
   std::uint64_t Position = 10;
-  int ReplicaLooks = 0;
+  int ReplicaPolls = 0;
 };
 
-/// A node that looks at such a registry, with the usual settings.
-struct LookingNode : SilentRegistry {
-  explicit LookingNode(bool tells = false)
+/// A watcher that polls such a registry, with the default settings.
+struct PollingNode : UnresponsiveRegistry {
+  explicit PollingNode(bool informsPeers = false)
       : Log(
             {"n"}, [](std::string_view) {},
             [] { return std::chrono::microseconds(0); }) {
@@ -126,55 +124,57 @@
       Known = std::max(Known, it.Position);
     };
     out.OnReplicas = [](const auto &, bool) {};
-    out.InformsPeers = [tells] { return tells; };
+    out.InformsPeers = [informsPeers] { return informsPeers; };
     out.OnUpdate = [] {};
-    Watch = std::make_unique<RegistryWatcher>(
+    Watcher = std::make_unique<RegistryWatcher>(
         Timers, hooks(), RegistryWatcher::Settings{}, std::move(out), Log);
-    Watch->start(Span(0));
+    Watcher->start(Span(0));
     until([this] { return Known == position(); });
   }
 
   void runFor(Span span) {
-    bool over = false;
-    Timers.after(span, [&over](Instant) { over = true; });
-    until([&over] { return over; });
+    bool timeIsOver = false;
+    Timers.after(span, [&timeIsOver](Instant) { timeIsOver = true; });
+    until([&timeIsOver] { return timeIsOver; });
   }
 
   EventLog Log;
   std::uint64_t Known = 0;
-  std::unique_ptr<RegistryWatcher> Watch;
+  std::unique_ptr<RegistryWatcher> Watcher;
 };
 
 } // namespace
 
-TEST_CASE("what is confirmed as the registry answers again is in force in time",
+TEST_CASE("a declaration that is confirmed as the registry answers again is in "
+          "force within the bound",
           "[gateway]") {
-  auto silence = GENERATE(milliseconds(100), milliseconds(600),
-                          milliseconds(1900), milliseconds(4000));
-  INFO("silent for " << silence.count() << " ms");
-  LookingNode it;
-  it.fallSilent();
-  it.runFor(silence);
-  it.speak();
+  auto outage = GENERATE(milliseconds(100), milliseconds(600),
+                         milliseconds(1900), milliseconds(4000));
+  INFO("unresponsive for " << outage.count() << " ms");
+  PollingNode it;
+  it.stopAnswering();
+  it.runFor(outage);
+  it.answerAgain();
   it.declare();
   it.runFor(PlanBound);
   CHECK(it.Known == it.position());
 }
 
-TEST_CASE("an owner does not tell for new what it could not have heard",
+TEST_CASE("an owner's update does not report its declarations as newer than "
+          "its last answered poll",
           "[gateway]") {
-  LookingNode it(true);
-  it.fallSilent();
-  it.speak();
-  // The look that waits for declarations is lost; those at replicas are not.
-  auto silentAt = TimerService::now();
-  auto looks = it.replicaLooks();
-  REQUIRE(it.until([&] { return it.replicaLooks() > looks; }));
+  PollingNode it(true);
+  it.stopAnswering();
+  it.answerAgain();
+  // The open poll of declarations is lost; polls of replicas are not.
+  auto unansweredSince = TimerService::now();
+  auto polls = it.replicaPolls();
+  REQUIRE(it.until([&] { return it.replicaPolls() > polls; }));
   it.runFor(milliseconds(20));
-  auto news = it.Watch->updateSince(it.Watch->positions());
-  REQUIRE(news.OperatorPosition == it.position());
-  auto least = TimerService::now() - silentAt - milliseconds(20);
-  CHECK(Span(news.OperatorAgeUs) > least);
+  auto update = it.Watcher->updateSince(it.Watcher->positions());
+  REQUIRE(update.OperatorPosition == it.position());
+  auto minAge = TimerService::now() - unansweredSince - milliseconds(20);
+  CHECK(Span(update.OperatorAgeUs) > minAge);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Node/Gateway/GatewayExchangeTest.cpp
+++ b/UnitTests/Node/Gateway/GatewayExchangeTest.cpp
@@ -18,7 +18,7 @@
   return {};
 }
 
-/// Labels under names of the test's own.
+/// Label hooks with field names that only this test uses.
 LabelHooks testLabels() {
   LabelHooks hooks;
   hooks.ReadRequest = [](const LabelFields &fields) {
@@ -107,10 +107,10 @@
                                                     limitHooks()},
         First(Context), Second(Context), Peer(Context) {
     Budget.setTrafficShare(1);
-    Way.Name = "r";
-    Way.Targets = {{"s", 1}};
-    Way.Timeout = milliseconds(2000);
-    Way.TargetLatency = milliseconds(500);
+    TestRoute.Name = "r";
+    TestRoute.Targets = {{"s", 1}};
+    TestRoute.Timeout = milliseconds(2000);
+    TestRoute.TargetLatency = milliseconds(500);
     CallerHooks hooks;
     hooks.Bounds = [] { return CallerBounds{}; };
     hooks.Closing = [] { return false; };
@@ -120,17 +120,17 @@
         fields.emplace_back(it.Name, it.Value);
       auto labels = Shared.Labels.ReadRequest(fields);
       Plan = std::make_shared<const RoutePlan>(
-          1, std::vector{Way},
+          1, std::vector{TestRoute},
           std::vector{ServiceSpec{"s", "/", 10,
-                                  Generates ? std::optional(EngineSpec{})
-                                            : std::nullopt}},
+                                  RunsEngine ? std::optional(EngineSpec{})
+                                             : std::nullopt}},
           CallerLimits{});
       View.setPlan(Plan);
       CallerAccess access;
       access.MatchedRoute = &Plan->routes()[0];
-      access.CallerWorkspace = Space ? &*Space : nullptr;
+      access.CallerWorkspace = TestWorkspace ? &*TestWorkspace : nullptr;
       Exchange = std::make_shared<GatewayExchange>(
-          Shared, Setup, Plan, access, std::move(request), std::move(labels),
+          Shared, Settings, Plan, access, std::move(request), std::move(labels),
           std::move(reply));
       Exchange->start();
     };
@@ -145,39 +145,42 @@
     hooks.OnSent = [](const RequestKey &) {};
     hooks.OnBroken = [this](const ReplicaRecord &replica, const RequestKey &,
                             Instant, std::optional<Instant>) {
-      BrokenAt.push_back(replica.Incarnation.text());
+      BrokenReplicas.push_back(replica.Incarnation.text());
     };
     hooks.OnGivenUp = [this](const ReplicaRecord &replica, const RequestKey &,
                              Instant, std::optional<Instant>) {
-      GivenUpAt.push_back(replica.Incarnation.text());
+      GivenUpReplicas.push_back(replica.Incarnation.text());
     };
     hooks.OnReplaced = [](const ReplicaIncarnation &) {};
-    hooks.OnServed = [this](const RequestKey &) { ++Served; };
+    hooks.OnServed = [this](const RequestKey &) { ++ServedCount; };
     return hooks;
   }
 
   LimitHooks limitHooks() {
     LimitHooks hooks;
     hooks.Reserve = [this](const Workspace &, double units, auto decided) {
-      Booked += units;
-      Decide = decided;
-      if (Decides)
-        decided(*Decides, milliseconds(1500));
+      ReservedUnits += units;
+      PendingDecision = decided;
+      if (ImmediateVerdict)
+        decided(*ImmediateVerdict, milliseconds(1500));
+    };
+    hooks.Charge = [this](const Workspace &, double units) {
+      ReservedUnits += units;
     };
-    hooks.Charge = [this](const Workspace &, double units) { Booked += units; };
     hooks.Release = [this](const Workspace &, double units) {
-      Booked -= units;
+      ReservedUnits -= units;
     };
     return hooks;
   }
 
-  /// The caller's workspace has a limit, counted in tokens.
-  void limit() {
-    Space = Workspace{"red", 3, WorkspaceLimit{LimitUnit::Tokens, 1, 1, 200}};
+  /// Gives the caller's workspace a limit that is counted in tokens.
+  void setLimit() {
+    TestWorkspace =
+        Workspace{"red", 3, WorkspaceLimit{LimitUnit::Tokens, 1, 1, 200}};
   }
 
-  /// Registers the replicas; the first is the nearer one.
-  void present(bool both = true) {
+  /// Registers the replicas. The first one is in the node's failure domain.
+  void registerReplicas(bool both = true) {
     std::vector<ReplicaRecord> records;
     for (auto *it : {&First, &Second}) {
       ReplicaRecord record;
@@ -192,15 +195,15 @@
     View.onRegistry({true, records, {}, 1}, false, TimerService::now());
   }
 
-  void ask(const std::string &more = "") {
-    Peer.send("POST /x/y?z=1 HTTP/1.1\r\nHost: a\r\nId: r1\r\n" + more +
+  void sendRequest(const std::string &extraFields = "") {
+    Peer.send("POST /x/y?z=1 HTTP/1.1\r\nHost: a\r\nId: r1\r\n" + extraFields +
               "Content-Length: 2\r\n\r\nhi");
   }
 
-  /// Only the first replica has the adapter, in a version that was replaced so
-  /// long ago that a request has to begin on it within 1.75 s, if at all.
+  /// Gives only the first replica the adapter, in a version that was replaced
+  /// so long ago that a request must begin on it within 1.75 s, or not at all.
   void replaceWeights() {
-    Generates = true;
+    RunsEngine = true;
     auto now = TimerService::now();
     View.onResidency("i-1", {{Adapter, {1, now}}}, now);
     View.onVersion({Adapter, 2, now - milliseconds(2450)});
@@ -209,58 +212,60 @@
     Shared.OnDone = [](auto &&...) {};
   }
 
-  bool untilEnd() {
+  bool untilEnded() {
     return until([this] { return Ended; });
   }
-  bool untilGot(const std::string &text) {
+  bool untilReceived(const std::string &text) {
     return until(
         [this, &text] { return Peer.Got.find(text) != std::string::npos; });
   }
-  bool has(const std::string &text) const {
+  bool received(const std::string &text) const {
     return Peer.Got.find(text) != std::string::npos;
   }
 
-  std::optional<Workspace> Space;
-  /// What the limit says at once; none if it says later, by `Decide`.
-  std::optional<QuotaService::Verdict> Decides = QuotaService::Verdict::Allowed;
-  QuotaService::OnDecided Decide;
-  /// Units booked, less those given back.
-  double Booked = 0;
+  std::optional<Workspace> TestWorkspace;
+  /// Verdict of the limit given at once; none if the test gives it later with
+  /// `PendingDecision`.
+  std::optional<QuotaService::Verdict> ImmediateVerdict =
+      QuotaService::Verdict::Allowed;
+  QuotaService::OnDecided PendingDecision;
+  /// Units reserved or charged, less those released.
+  double ReservedUnits = 0;
   std::vector<std::string> Lines;
   EventLog Log;
   ReplicaView View;
   SharedRetryBudget Budget;
   HttpPool Pool;
   ExchangeContext Shared;
-  ExchangeSettings Setup;
-  Route Way;
+  ExchangeSettings Settings;
+  Route TestRoute;
   std::shared_ptr<const RoutePlan> Plan;
   ScriptedReplica First;
   ScriptedReplica Second;
   RawPeer Peer;
   std::unique_ptr<CallerServer> Server;
   std::shared_ptr<GatewayExchange> Exchange;
-  /// Whether the service runs models.
-  bool Generates = false;
+  /// Whether the service's replicas are engines.
+  bool RunsEngine = false;
   bool Ended = false;
   std::string Outcome;
   std::optional<Span> BarredFor;
-  std::vector<std::string> BrokenAt;
-  std::vector<std::string> GivenUpAt;
-  int Served = 0;
+  std::vector<std::string> BrokenReplicas;
+  std::vector<std::string> GivenUpReplicas;
+  int ServedCount = 0;
 };
 
 } // namespace
 
-TEST_CASE("request and answer are passed on unchanged", "[gateway]") {
+TEST_CASE("request and answer are forwarded unchanged", "[gateway]") {
   ExchangeFixture it;
-  it.present();
+  it.registerReplicas();
   it.First.Script = {{answer(200, "hello", "Id: r1\r\nSeal: s\r\nX: 1\r\n")}};
-  it.ask();
-  REQUIRE(it.untilGot("hello"));
-  CHECK(it.has("HTTP/1.1 200"));
-  CHECK(it.has("Seal: s"));
-  CHECK(it.has("X: 1"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("hello"));
+  CHECK(it.received("HTTP/1.1 200"));
+  CHECK(it.received("Seal: s"));
+  CHECK(it.received("X: 1"));
   REQUIRE(it.First.Requests.size() == 1);
   const auto &sent = it.First.Requests[0];
   CHECK(sent.Head.Method == "POST");
@@ -269,11 +274,11 @@
   CHECK(*findField(sent.Head.Fields, "Meant-For") == "i-1");
 }
 
-TEST_CASE("what must not run twice is not sent again", "[gateway]") {
+TEST_CASE("a run-once request that may have run is not retried", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.Way.MaxAttempts = 3;
-  it.present();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.TestRoute.MaxAttempts = 3;
+  it.registerReplicas();
   auto step = GENERATE(
       as<ScriptedReplica::Step>{}, ScriptedReplica::Step{"", Then::Close},
       ScriptedReplica::Step{"", Then::Reset},
@@ -285,447 +290,459 @@
       ScriptedReplica::Step{answer(503, "x"), Then::Keep},
       ScriptedReplica::Step{answer(429, "x", "Id: r1\r\n"), Then::Keep});
   it.First.Script = {step};
-  it.ask();
-  REQUIRE(it.untilGot("HTTP/1.1 502"));
-  CHECK_FALSE(it.has("Seal"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("HTTP/1.1 502"));
+  CHECK_FALSE(it.received("Seal"));
   CHECK(it.Second.Requests.empty());
 }
 
-TEST_CASE("what may run again is sent to another replica", "[gateway]") {
+TEST_CASE("a repeatable request is retried at another replica", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Repeatable;
-  it.Way.MaxAttempts = 2;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Repeatable;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
   it.First.Script = {{"", Then::Reset}};
   it.Second.Script = {{answer(200, "hello")}};
-  it.ask();
-  REQUIRE(it.untilGot("hello"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("hello"));
   CHECK(it.Second.Requests.size() == 1);
 }
 
-TEST_CASE("attempts are bounded by the route", "[gateway]") {
+TEST_CASE("the number of attempts is limited by the route", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Repeatable;
-  it.Way.MaxAttempts = 1;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Repeatable;
+  it.TestRoute.MaxAttempts = 1;
+  it.registerReplicas();
   it.First.Script = {{"", Then::Reset}};
-  it.ask();
-  REQUIRE(it.untilGot("HTTP/1.1 502"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("HTTP/1.1 502"));
   CHECK(it.Second.Requests.empty());
 }
 
-TEST_CASE("a request that was shed goes elsewhere whatever it is",
+TEST_CASE("a request that was shed is sent to another replica even if it is "
+          "run-once",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.present();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.registerReplicas();
   auto shed = answer(503, "", "Not-Run: 1\r\n");
   it.First.Script = {{shed}, {shed}, {shed}};
-  SECTION("to one that takes it") {
+  SECTION("another replica accepts it") {
     it.Second.Script = {{answer(200, "hello")}};
-    it.ask();
-    CHECK(it.untilGot("hello"));
+    it.sendRequest();
+    CHECK(it.untilReceived("hello"));
   }
-  SECTION("and is refused with a time to come back if none does") {
-    it.Setup.MaxHoldShare = 0.05;
+  SECTION("refused with Retry-After if none accepts it") {
+    it.Settings.MaxHoldShare = 0.05;
     it.Second.Script = {{shed}, {shed}, {shed}};
-    it.ask();
-    REQUIRE(it.untilGot("HTTP/1.1 503"));
-    CHECK(it.has("Retry-After: 0."));
+    it.sendRequest();
+    REQUIRE(it.untilReceived("HTTP/1.1 503"));
+    CHECK(it.received("Retry-After: 0."));
   }
 }
 
-TEST_CASE("replicas that shed a request are asked again while it is held",
+TEST_CASE("a held request is sent again to replicas that shed it",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.present();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.registerReplicas();
   auto shed = answer(503, "", "Not-Run: 1\r\n");
   it.First.Script = {{shed}, {answer(200, "hello")}};
   it.Second.Script = {{shed}, {answer(200, "hello")}};
-  it.ask();
-  REQUIRE(it.untilGot("hello"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("hello"));
   CHECK(it.First.Requests.size() + it.Second.Requests.size() == 3);
 }
 
-TEST_CASE("replicas that go on shedding a request are asked ever less often",
+TEST_CASE("the backoff doubles for replicas that keep shedding a request",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.present();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.registerReplicas();
   auto shed = answer(503, "", "Not-Run: 1\r\n");
   it.First.Script = std::vector<ScriptedReplica::Step>(100, {shed});
   it.Second.Script = it.First.Script;
-  it.ask();
-  REQUIRE(it.untilGot("HTTP/1.1 503"));
-  // Held for 0.9 s: after 50, 100, 200 and 400 ms.
+  it.sendRequest();
+  REQUIRE(it.untilReceived("HTTP/1.1 503"));
+  // Held for 0.9 s: further attempts after backoffs of 50, 100, 200 and 400 ms.
   CHECK(it.First.Requests.size() + it.Second.Requests.size() <= 10);
 }
 
-TEST_CASE("a replica that can't be reached costs no attempt", "[gateway]") {
+TEST_CASE("a failed connection does not count as an attempt", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.present();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.registerReplicas();
   it.First.stop();
   it.Second.Script = {{answer(200, "hello")}};
-  it.ask();
-  CHECK(it.untilGot("hello"));
+  it.sendRequest();
+  CHECK(it.untilReceived("hello"));
 }
 
-TEST_CASE("a request that was sent is never said not to have run",
-          "[gateway]") {
+TEST_CASE(
+    "a request that was sent is answered at its timeout with 504, not with 503",
+    "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.Way.Timeout = milliseconds(150);
-  it.present();
-  it.ask();
-  REQUIRE(it.untilEnd());
-  REQUIRE(it.untilGot("HTTP/1.1 504"));
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.TestRoute.Timeout = milliseconds(150);
+  it.registerReplicas();
+  it.sendRequest();
+  REQUIRE(it.untilEnded());
+  REQUIRE(it.untilReceived("HTTP/1.1 504"));
   CHECK(it.until([&] { return it.First.Ended == 1; }));
 }
 
-TEST_CASE("a request without a replica is refused in time", "[gateway]") {
+TEST_CASE("a request without a known replica is refused before its timeout",
+          "[gateway]") {
   ExchangeFixture it;
-  it.Way.Timeout = milliseconds(300);
-  it.ask();
-  REQUIRE(it.untilGot("HTTP/1.1 503"));
-  CHECK(it.has("Retry-After"));
+  it.TestRoute.Timeout = milliseconds(300);
+  it.sendRequest();
+  REQUIRE(it.untilReceived("HTTP/1.1 503"));
+  CHECK(it.received("Retry-After"));
 }
 
-TEST_CASE("a failure of the replica's own is passed on with its signature",
+TEST_CASE("a replica's signed failure is forwarded with its signature",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Repeatable;
-  it.Way.MaxAttempts = 2;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Repeatable;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
   it.First.Script = {{answer(500, "sorry")}};
-  it.ask();
-  REQUIRE(it.untilGot("sorry"));
-  CHECK(it.has("HTTP/1.1 500"));
-  CHECK(it.has("Seal: s"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("sorry"));
+  CHECK(it.received("HTTP/1.1 500"));
+  CHECK(it.received("Seal: s"));
 }
 
-TEST_CASE("an answer to another request is passed over", "[gateway]") {
+TEST_CASE("an answer to another request is ignored", "[gateway]") {
   ExchangeFixture it;
-  it.present();
+  it.registerReplicas();
   it.First.Script = {
       {answer(200, "stray", "Id: other\r\nSeal: s\r\n") + answer(200, "mine")}};
-  it.ask();
-  REQUIRE(it.untilGot("mine"));
-  CHECK_FALSE(it.has("stray"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("mine"));
+  CHECK_FALSE(it.received("stray"));
 }
 
-TEST_CASE("a caller who leaves ends the run", "[gateway]") {
+TEST_CASE("the attempt is ended when the caller disconnects", "[gateway]") {
   ExchangeFixture it;
-  it.present();
-  it.ask();
+  it.registerReplicas();
+  it.sendRequest();
   REQUIRE(it.until([&] { return it.First.Requests.size() == 1; }));
   it.Peer.close();
   CHECK(it.until([&] { return it.First.Ended == 1; }));
   CHECK(it.Outcome == "caller left");
 }
 
-TEST_CASE("events are passed on whole", "[gateway]") {
+TEST_CASE("only complete events are forwarded", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.registerReplicas();
   it.First.Script = {{StreamHead + chunk(event(1)) + chunk("id: 2\nda")}};
-  it.ask();
-  REQUIRE(it.untilGot(event(1)));
+  it.sendRequest();
+  REQUIRE(it.untilReceived(event(1)));
   it.settle();
-  CHECK_FALSE(it.has("id: 2"));
+  CHECK_FALSE(it.received("id: 2"));
 }
 
-TEST_CASE("a whole stream ends as complete", "[gateway]") {
+TEST_CASE("a complete stream ends with the outcome complete", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.registerReplicas();
   it.First.Script = {
       {StreamHead + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n"}};
-  it.ask();
-  REQUIRE(it.untilGot("\r\n0\r\n\r\n"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("\r\n0\r\n\r\n"));
   CHECK(it.Outcome == "complete");
 }
 
-TEST_CASE("a broken stream goes on elsewhere behind its last whole event",
-          "[gateway]") {
+TEST_CASE(
+    "a broken stream is resumed at another replica after its last complete "
+    "event",
+    "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 2;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
   it.First.Script = {
       {StreamHead + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\n"),
        Then::Reset}};
-  auto rest = StreamHead;
-  rest.replace(rest.find("first"), 5, "other");
-  it.Second.Script = {{rest + chunk(event(3)) + "0\r\n\r\n"}};
-  it.ask();
-  REQUIRE(it.untilGot("\r\n0\r\n\r\n"));
+  auto resumedStream = StreamHead;
+  resumedStream.replace(resumedStream.find("first"), 5, "other");
+  it.Second.Script = {{resumedStream + chunk(event(3)) + "0\r\n\r\n"}};
+  it.sendRequest();
+  REQUIRE(it.untilReceived("\r\n0\r\n\r\n"));
   REQUIRE(it.Second.Requests.size() == 1);
   CHECK(*findField(it.Second.Requests[0].Head.Fields, "Behind") == "2");
-  CHECK(it.has("Seal: first"));
-  CHECK_FALSE(it.has("Seal: other"));
-  auto at = it.Peer.Got.find(event(2));
-  CHECK(it.Peer.Got.find(event(2), at + 1) == std::string::npos);
-  CHECK(it.has(event(3)));
+  CHECK(it.received("Seal: first"));
+  CHECK_FALSE(it.received("Seal: other"));
+  auto position = it.Peer.Got.find(event(2));
+  CHECK(it.Peer.Got.find(event(2), position + 1) == std::string::npos);
+  CHECK(it.received(event(3)));
 }
 
-TEST_CASE("a broken stream that can't go on does not look complete",
+TEST_CASE("a broken stream that can't be resumed is not terminated as complete",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.MaxAttempts = 2;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
   auto then = GENERATE(Then::Reset, Then::Close);
   it.First.Script = {{StreamHead + chunk(event(1)), then}};
-  it.ask();
+  it.sendRequest();
   REQUIRE(it.until([&] { return it.Peer.Ended; }));
-  CHECK_FALSE(it.has("\r\n0\r\n\r\n"));
+  CHECK_FALSE(it.received("\r\n0\r\n\r\n"));
   CHECK(it.Second.Requests.empty());
 }
 
-TEST_CASE("a stream that stalls goes on elsewhere", "[gateway]") {
+TEST_CASE("a stalled stream is resumed at another replica", "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 2;
-  it.Way.TargetGap = milliseconds(20);
-  it.Setup.MinStallTime = milliseconds(100);
-  it.Way.TargetLatency = milliseconds(100);
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 2;
+  it.TestRoute.TargetGap = milliseconds(20);
+  it.Settings.MinStallTime = milliseconds(100);
+  it.TestRoute.TargetLatency = milliseconds(100);
+  it.registerReplicas();
   it.First.Script = {{StreamHead + chunk(event(1))}};
   it.Second.Script = {{StreamHead + chunk(event(2)) + "0\r\n\r\n"}};
-  it.ask();
-  REQUIRE(it.untilGot("\r\n0\r\n\r\n"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("\r\n0\r\n\r\n"));
   CHECK(it.First.Ended == 1);
 }
 
-TEST_CASE("a request that is cut by a stop is answered by what is known",
+TEST_CASE("a request that is aborted at shutdown is answered by whether it was "
+          "sent",
           "[gateway]") {
   ExchangeFixture it;
-  SECTION("not run, if it was sent nowhere") {
-    it.ask();
+  SECTION("503 if it was not sent") {
+    it.sendRequest();
     REQUIRE(it.until([&] { return it.Exchange != nullptr; }));
     it.Exchange->abort();
-    CHECK(it.untilGot("HTTP/1.1 503"));
+    CHECK(it.untilReceived("HTTP/1.1 503"));
   }
-  SECTION("unknown, if it was sent") {
-    it.present();
-    it.ask();
+  SECTION("502 if it was sent") {
+    it.registerReplicas();
+    it.sendRequest();
     REQUIRE(it.until([&] { return it.First.Requests.size() == 1; }));
     it.Exchange->abort();
-    CHECK(it.untilGot("HTTP/1.1 502"));
+    CHECK(it.untilReceived("HTTP/1.1 502"));
   }
 }
 
-TEST_CASE("a repeat does not hold a request beyond what a stop allows",
+TEST_CASE("a retry does not extend the hold time that a shutdown allows",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 2;
-  it.present(false);
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas(false);
   it.First.Script = {{""}};
-  it.ask();
+  it.sendRequest();
   REQUIRE(it.until([&] { return it.First.Requests.size() == 1; }));
   it.Exchange->holdAtMost(milliseconds(100));
-  auto from = TimerService::now();
-  // Nobody else is there to send it to.
+  auto startedAt = TimerService::now();
+  // There is no other replica.
   it.First.crash();
-  REQUIRE(it.untilEnd());
-  CHECK(TimerService::now() - from < milliseconds(600));
+  REQUIRE(it.untilEnded());
+  CHECK(TimerService::now() - startedAt < milliseconds(600));
 }
 
-TEST_CASE("what ran at a replica that has started anew goes on elsewhere",
-          "[gateway][life]") {
+TEST_CASE(
+    "a stream from a replica that has restarted is resumed at another one",
+    "[gateway][life]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 2;
-  it.Way.TargetGap = milliseconds(300);
-  it.Setup.RestartGrace = milliseconds(60);
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 2;
+  it.TestRoute.TargetGap = milliseconds(300);
+  it.Settings.RestartGrace = milliseconds(60);
+  it.registerReplicas();
   it.First.Script = {{StreamHead + chunk(event(0))}};
   it.Second.Script = {{StreamHead + chunk(event(1)) + chunk("")}};
-  it.ask();
-  REQUIRE(it.untilGot("data: 0"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("data: 0"));
   it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
-  REQUIRE(it.untilEnd());
+  REQUIRE(it.untilEnded());
   CHECK(it.Outcome == "complete");
   CHECK(*findField(it.Second.Requests[0].Head.Fields, "Behind") == "0");
 }
 
-TEST_CASE("what may have run at a replica that has started anew is answered "
-          "soon",
+TEST_CASE("a run-once request at a replica that has restarted is answered with "
+          "502 after the grace period",
           "[gateway][life]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.Setup.RestartGrace = milliseconds(60);
-  it.present();
-  it.ask();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.Settings.RestartGrace = milliseconds(60);
+  it.registerReplicas();
+  it.sendRequest();
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
   it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
-  REQUIRE(it.untilGot("HTTP/1.1 502"));
+  REQUIRE(it.untilReceived("HTTP/1.1 502"));
   CHECK(it.Outcome == "replica started anew");
   CHECK(it.Second.Requests.empty());
 }
 
-TEST_CASE("news of a restart that come again and again give no new time",
+TEST_CASE("repeated reports of a restart do not extend the grace period",
           "[gateway][life]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::RunOnce;
-  it.Setup.RestartGrace = milliseconds(60);
-  it.present();
-  it.ask();
+  it.TestRoute.Kind = RouteKind::RunOnce;
+  it.Settings.RestartGrace = milliseconds(60);
+  it.registerReplicas();
+  it.sendRequest();
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
   TimerService timers(it.Context);
-  auto telling = timers.every(milliseconds(20), [&it](Instant) {
+  auto subscription = timers.every(milliseconds(20), [&it](Instant) {
     it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
   });
-  auto from = TimerService::now();
-  REQUIRE(it.untilGot("HTTP/1.1 502"));
-  CHECK(TimerService::now() - from < milliseconds(1000));
+  auto startedAt = TimerService::now();
+  REQUIRE(it.untilReceived("HTTP/1.1 502"));
+  CHECK(TimerService::now() - startedAt < milliseconds(1000));
 }
 
-TEST_CASE("a request that already runs at the new start is left alone",
+TEST_CASE("an attempt continues if data arrive after the replica has restarted",
           "[gateway][life]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Setup.RestartGrace = milliseconds(60);
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.Settings.RestartGrace = milliseconds(60);
+  it.registerReplicas();
   it.First.Script = {{StreamHead + chunk(event(0))}};
-  it.ask();
+  it.sendRequest();
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
   it.Exchange->onRestarted(ReplicaIncarnation("i-1"));
-  REQUIRE(it.untilGot("data: 0"));
-  bool passed = false;
-  asio::steady_timer timer(it.Context, 3 * it.Setup.RestartGrace);
-  timer.async_wait([&passed](asio::error_code) { passed = true; });
-  REQUIRE(it.until([&passed] { return passed; }));
+  REQUIRE(it.untilReceived("data: 0"));
+  bool timeIsOver = false;
+  asio::steady_timer timer(it.Context, 3 * it.Settings.RestartGrace);
+  timer.async_wait([&timeIsOver](asio::error_code) { timeIsOver = true; });
+  REQUIRE(it.until([&timeIsOver] { return timeIsOver; }));
   CHECK_FALSE(it.Ended);
 }
 
-TEST_CASE("a request that would begin on replaced weights goes on elsewhere",
+TEST_CASE("a request that would begin on replaced weights is sent to another "
+          "replica",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 2;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
   it.replaceWeights();
   it.Second.Script = {{StreamHead + chunk(event(0)) + chunk("")}};
-  it.ask("Weights: m/a1\r\n");
+  it.sendRequest("Weights: m/a1\r\n");
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
   it.View.onResidency("i-2", {{Adapter, {2, Instant{}}}}, TimerService::now());
-  REQUIRE(it.untilEnd());
+  REQUIRE(it.untilEnded());
   CHECK(it.Outcome == "complete");
   CHECK(it.Second.Requests.size() == 1);
 }
 
-TEST_CASE("an engine that takes the newest weights gets back the request that "
-          "waited there for the ones before",
-          "[gateway]") {
+TEST_CASE(
+    "a request that waited for replaced weights is sent again to the same "
+    "engine once it has the newest ones",
+    "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 2;
-  it.Setup.MinStallTime = std::chrono::seconds(5);
-  it.present(false);
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 2;
+  it.Settings.MinStallTime = std::chrono::seconds(5);
+  it.registerReplicas(false);
   it.replaceWeights();
   it.First.Script = {{}, {StreamHead + chunk(event(0)) + chunk("")}};
-  it.ask("Weights: m/a1\r\n");
+  it.sendRequest("Weights: m/a1\r\n");
   REQUIRE(it.until([&it] { return it.First.Requests.size() == 1; }));
   it.View.onResidency("i-1", {{Adapter, {2, Instant{}}}}, TimerService::now());
-  REQUIRE(it.untilEnd());
+  REQUIRE(it.untilEnded());
   CHECK(it.Outcome == "complete");
   CHECK(it.First.Requests.size() == 2);
 }
 
-TEST_CASE("a slow request that may not be repeated is still ended before it "
-          "begins on replaced weights",
-          "[gateway]") {
+TEST_CASE(
+    "a slow request without retries left is still ended before it begins on "
+    "replaced weights",
+    "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.Way.Resumable = true;
-  it.Way.MaxAttempts = 1;
-  it.Way.TargetLatency = milliseconds(100);
-  it.Setup.MinStallTime = milliseconds(100);
-  it.present();
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.TestRoute.Resumable = true;
+  it.TestRoute.MaxAttempts = 1;
+  it.TestRoute.TargetLatency = milliseconds(100);
+  it.Settings.MinStallTime = milliseconds(100);
+  it.registerReplicas();
   it.replaceWeights();
-  it.ask("Weights: m/a1\r\n");
-  REQUIRE(it.untilEnd());
+  it.sendRequest("Weights: m/a1\r\n");
+  REQUIRE(it.untilEnded());
   CHECK(it.Outcome == "would begin on replaced weights");
 }
 
-TEST_CASE("a barred request is refused at once with when to come back",
-          "[gateway]") {
+TEST_CASE("a barred request is refused at once with Retry-After", "[gateway]") {
   ExchangeFixture it;
-  it.present();
+  it.registerReplicas();
   it.BarredFor = std::chrono::seconds(90);
-  it.ask();
-  REQUIRE(it.untilGot("HTTP/1.1 503"));
-  CHECK(it.has("Retry-After: 90"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("HTTP/1.1 503"));
+  CHECK(it.received("Retry-After: 90"));
   CHECK(it.First.Requests.empty());
 }
 
 TEST_CASE("a request that is barred while it is held is refused", "[gateway]") {
   ExchangeFixture it;
   // No replica is known, so that it waits.
-  it.ask();
+  it.sendRequest();
   REQUIRE(it.until([&] { return it.Exchange && it.Exchange->waiting(); }));
   it.BarredFor = std::chrono::seconds(90);
-  it.present();
+  it.registerReplicas();
   it.Exchange->wake();
-  REQUIRE(it.untilGot("HTTP/1.1 503"));
+  REQUIRE(it.untilReceived("HTTP/1.1 503"));
   CHECK(it.First.Requests.empty());
 }
 
-TEST_CASE("a request that is barred while it waits at a replica is taken back",
+TEST_CASE("an attempt without events is ended when its request is barred",
           "[gateway]") {
   ExchangeFixture it;
-  it.present(false);
-  it.ask();
+  it.registerReplicas(false);
+  it.sendRequest();
   REQUIRE(it.until([&] { return !it.First.Requests.empty(); }));
   it.BarredFor = std::chrono::seconds(90);
   it.Exchange->onBarred();
-  // It may have begun there.
-  REQUIRE(it.untilGot("HTTP/1.1 502"));
+  // The replica may have begun to run it.
+  REQUIRE(it.untilReceived("HTTP/1.1 502"));
   CHECK(it.until([&] { return it.First.Ended == 1; }));
 }
 
-TEST_CASE("a stream that runs well goes on though its request is barred",
+TEST_CASE("a stream that has sent events continues when its request is barred",
           "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Stream;
-  it.present(false);
+  it.TestRoute.Kind = RouteKind::Stream;
+  it.registerReplicas(false);
   it.First.Script = {{StreamHead + chunk(event(1))}};
-  it.ask();
-  REQUIRE(it.untilGot("data: 1"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("data: 1"));
   it.BarredFor = std::chrono::seconds(90);
   it.Exchange->onBarred();
   it.settle();
   CHECK_FALSE(it.Ended);
 }
 
-TEST_CASE("broken attempts and whole answers are told of", "[gateway]") {
+TEST_CASE(
+    "broken attempts are reported, and a failure is not reported as served",
+    "[gateway]") {
   ExchangeFixture it;
-  it.Way.Kind = RouteKind::Repeatable;
-  it.Way.MaxAttempts = 2;
-  it.present();
+  it.TestRoute.Kind = RouteKind::Repeatable;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
   it.First.Script = {{"", Then::Reset}};
   it.Second.Script = {{answer(500, "failed")}};
-  it.ask();
-  REQUIRE(it.untilGot("failed"));
-  CHECK(it.BrokenAt == std::vector<std::string>{"i-1"});
+  it.sendRequest();
+  REQUIRE(it.untilReceived("failed"));
+  CHECK(it.BrokenReplicas == std::vector<std::string>{"i-1"});
   // The replica may have failed it before it began to run it.
-  CHECK(it.Served == 0);
+  CHECK(it.ServedCount == 0);
 }
 
-TEST_CASE("only an answer that shows a whole run clears a request",
-          "[gateway]") {
+TEST_CASE(
+    "a request is reported as served only after a complete successful run",
+    "[gateway]") {
   ExchangeFixture it;
-  it.present(false);
+  it.registerReplicas(false);
   auto [step, served] = GENERATE(table<ScriptedReplica::Step, int>(
       {{{answer(200, "hello")}, 1},
        {{answer(500, "failed")}, 0},
@@ -733,99 +750,101 @@
        {{StreamHead + chunk(event(1)) + "0\r\n\r\n"}, 1},
        {{StreamHead + "0\r\n\r\n"}, 0}}));
   it.First.Script = {step};
-  it.ask();
-  REQUIRE(it.untilEnd());
-  CHECK(it.Served == served);
+  it.sendRequest();
+  REQUIRE(it.untilEnded());
+  CHECK(it.ServedCount == served);
 }
 
 TEST_CASE("a request beyond its workspace's limit is refused at once",
           "[exchange][limit]") {
   ExchangeFixture it;
-  it.limit();
-  it.present();
-  it.Decides = QuotaService::Verdict::Limited;
-  it.ask();
-  REQUIRE(it.untilGot("limit"));
-  CHECK(it.has(" 429 "));
-  CHECK(it.has("Retry-After: 1.50"));
+  it.setLimit();
+  it.registerReplicas();
+  it.ImmediateVerdict = QuotaService::Verdict::Limited;
+  it.sendRequest();
+  REQUIRE(it.untilReceived("limit"));
+  CHECK(it.received(" 429 "));
+  CHECK(it.received("Retry-After: 1.50"));
   CHECK(it.First.Requests.empty());
 }
 
-TEST_CASE("a request waits for its limit, and runs once it may",
+TEST_CASE("a request is sent only after the limit has allowed it",
           "[exchange][limit]") {
   ExchangeFixture it;
-  it.limit();
-  it.present();
-  it.Decides = std::nullopt;
+  it.setLimit();
+  it.registerReplicas();
+  it.ImmediateVerdict = std::nullopt;
   it.First.Script = {{answer(200, "hello")}};
-  it.ask();
-  REQUIRE(it.until([&] { return it.Decide != nullptr; }));
+  it.sendRequest();
+  REQUIRE(it.until([&] { return it.PendingDecision != nullptr; }));
   it.settle();
   CHECK(it.First.Requests.empty());
-  it.Decide(QuotaService::Verdict::Allowed, Span(0));
-  REQUIRE(it.untilGot("hello"));
-  CHECK(it.Booked == 200);
+  it.PendingDecision(QuotaService::Verdict::Allowed, Span(0));
+  REQUIRE(it.untilReceived("hello"));
+  CHECK(it.ReservedUnits == 200);
 }
 
-TEST_CASE("a caller who leaves before its limit answers has nothing booked",
+TEST_CASE("the quota is released if the caller disconnects before the decision",
           "[exchange][limit]") {
   ExchangeFixture it;
-  it.limit();
-  it.present();
-  it.Decides = std::nullopt;
-  it.ask();
-  REQUIRE(it.until([&] { return it.Decide != nullptr; }));
+  it.setLimit();
+  it.registerReplicas();
+  it.ImmediateVerdict = std::nullopt;
+  it.sendRequest();
+  REQUIRE(it.until([&] { return it.PendingDecision != nullptr; }));
   it.Peer.close();
-  REQUIRE(it.untilEnd());
-  it.Decide(QuotaService::Verdict::Allowed, Span(0));
-  CHECK(it.Booked == 0);
+  REQUIRE(it.untilEnded());
+  it.PendingDecision(QuotaService::Verdict::Allowed, Span(0));
+  CHECK(it.ReservedUnits == 0);
   CHECK(it.First.Requests.empty());
 }
 
-TEST_CASE("what no replica ran is given back", "[exchange][limit]") {
+TEST_CASE("the quota of a request that no replica ran is released",
+          "[exchange][limit]") {
   ExchangeFixture it;
-  it.limit();
-  it.present(false);
+  it.setLimit();
+  it.registerReplicas(false);
   it.First.Answer = [](const auto &) {
     return ScriptedReplica::Step{answer(503, "", "Not-Run: 1\r\n")};
   };
-  it.ask();
-  REQUIRE(it.untilEnd());
+  it.sendRequest();
+  REQUIRE(it.untilEnded());
   CHECK_FALSE(it.First.Requests.empty());
-  CHECK(it.Booked == 0);
+  CHECK(it.ReservedUnits == 0);
 }
 
-TEST_CASE("each run counts, and each only once", "[exchange][limit]") {
+TEST_CASE("each attempt that may have run is charged once",
+          "[exchange][limit]") {
   ExchangeFixture it;
-  it.limit();
-  it.Way.Kind = RouteKind::Repeatable;
-  it.Way.MaxAttempts = 2;
-  it.present();
-  SECTION("after one that may have run") {
+  it.setLimit();
+  it.TestRoute.Kind = RouteKind::Repeatable;
+  it.TestRoute.MaxAttempts = 2;
+  it.registerReplicas();
+  SECTION("the first attempt may have run") {
     it.First.Script = {{"", ScriptedReplica::Then::Reset}};
     it.Second.Script = {{answer(200, "hello")}};
-    it.ask();
-    REQUIRE(it.untilGot("hello"));
-    CHECK(it.Booked == 400);
+    it.sendRequest();
+    REQUIRE(it.untilReceived("hello"));
+    CHECK(it.ReservedUnits == 400);
   }
-  SECTION("after one that surely did not") {
+  SECTION("the first attempt has not run") {
     it.First.Script = {{answer(503, "", "Not-Run: 1\r\n")}};
     it.Second.Script = {{answer(200, "hello")}};
     it.First.Answer = nullptr;
-    it.ask();
-    REQUIRE(it.untilGot("hello"));
-    CHECK(it.Booked == 200);
+    it.sendRequest();
+    REQUIRE(it.untilReceived("hello"));
+    CHECK(it.ReservedUnits == 200);
   }
 }
 
-TEST_CASE("a workspace's rank goes before its route's", "[exchange][limit]") {
+TEST_CASE("a workspace's priority overrides its route's", "[exchange][limit]") {
   ExchangeFixture it;
-  it.limit();
-  it.Way.Priority = 1;
-  it.present();
+  it.setLimit();
+  it.TestRoute.Priority = 1;
+  it.registerReplicas();
   it.First.Script = {{answer(200, "hello")}};
-  it.ask();
-  REQUIRE(it.untilGot("hello"));
+  it.sendRequest();
+  REQUIRE(it.untilReceived("hello"));
   CHECK(it.Exchange->rank() == 3);
 }
 
--- a/UnitTests/Node/Gateway/RegistryWatcherTest.cpp
+++ b/UnitTests/Node/Gateway/RegistryWatcherTest.cpp
@@ -8,43 +8,43 @@
 
 using std::chrono::milliseconds;
 
-/// Longer than any test.
-constexpr Span Long = std::chrono::hours(1);
+/// Longer than any test runs.
+constexpr Span Forever = std::chrono::hours(1);
 
-/// A registry that counts looks and answers them at once, but for the one that
-/// waits for declarations.
-struct WatchFixture : Loopback {
-  explicit WatchFixture(Span slack = Long, Span silence = Long,
-                        bool starts = true)
+/// A watcher and a registry that counts calls and answers them at once, except
+/// for polls of declarations, which it answers after their wait.
+struct WatcherFixture : Loopback {
+  explicit WatcherFixture(Span slack = Forever, Span ownerTimeout = Forever,
+                          bool startsPolling = true)
       : Log(
             {"n"}, [](std::string_view) {},
             [] { return std::chrono::microseconds(0); }),
         Timers(Context) {
     RegistryHooks registry;
     registry.ReadOperator = [this](auto done) {
-      ++Reads;
-      if (Away)
+      ++FullReads;
+      if (Unavailable)
         return post(
             [done] { done(tl::unexpected(RegistryError::Unavailable)); });
       post([done, this] { done(OperatorChanges{nullptr, {}, Position}); });
     };
     registry.WatchOperator = [this](std::uint64_t, Span wait, auto done) {
-      ++Waits;
-      if (Holds)
-        return HeldLooks.push_back(done);
+      ++OperatorPolls;
+      if (HoldsPolls)
+        return HeldPolls.push_back(done);
       Timers.after(wait, [done, this](Instant) {
         done(OperatorChanges{nullptr, {}, Position});
       });
     };
     registry.ReadReplicas = [this](auto done) {
-      ++Reads;
-      if (Away)
+      ++FullReads;
+      if (Unavailable)
         return post(
             [done] { done(tl::unexpected(RegistryError::Unavailable)); });
       post([done, this] { done(ReplicaChanges{true, {}, {}, Position}); });
     };
     registry.WatchReplicas = [this](std::uint64_t, auto done) {
-      ++Looks;
+      ++ReplicaPolls;
       post([done, this] { done(ReplicaChanges{false, {}, {}, Position}); });
     };
     registry.ParsePlan = [](std::string_view) {
@@ -62,304 +62,309 @@
     settings.Poll.MaxOperatorWait = milliseconds(50);
     settings.Poll.ReplicaPeriod = milliseconds(100);
     settings.PeerUpdateSlack = slack;
-    settings.OwnerSilence = silence;
+    settings.OwnerTimeout = ownerTimeout;
     settings.Poll.RetryPause = milliseconds(10);
-    settings.StandbyPause = milliseconds(200);
+    settings.MinStandbyRetryDelay = milliseconds(200);
     settings.Poll.MaxOperatorAge = settings.Poll.MaxReplicaAge =
         milliseconds(1500);
     RegistryWatcher::Hooks hooks;
     hooks.OnOperator = [this](const auto &it) {
-      Versions += it.Versions.size();
+      VersionCount += it.Versions.size();
     };
     hooks.OnReplicas = [this](const auto &it, bool) {
       for (const auto &at : it.Present)
         Present.push_back(at.Incarnation.id());
     };
-    hooks.InformsPeers = [this] { return Tells; };
-    hooks.StandsBy = [this] { return StandsBy; };
-    hooks.OnUpdate = [this] { ++News; };
-    Watch = std::make_unique<RegistryWatcher>(Timers, registry, settings,
-                                              std::move(hooks), Log);
-    if (!starts)
+    hooks.InformsPeers = [this] { return InformsPeers; };
+    hooks.StandsBy = [this] { return IsStandby; };
+    hooks.OnUpdate = [this] { ++ChangeReports; };
+    Watcher = std::make_unique<RegistryWatcher>(Timers, registry, settings,
+                                                std::move(hooks), Log);
+    if (!startsPolling)
       return;
-    Watch->start(Span(0));
-    until([this] { return Watch->positions().Replica != 0; });
+    Watcher->start(Span(0));
+    until([this] { return Watcher->positions().Replica != 0; });
   }
 
   void post(std::function<void()> call) {
     asio::post(Context, std::move(call));
   }
 
-  /// The next look for declarations stays open for a while; when it began.
-  Instant holdLook() {
+  /// Leaves the next poll of declarations open for a while; returns when it
+  /// began.
+  Instant holdPoll() {
     constexpr Span HeldFor = milliseconds(150);
-    Holds = true;
-    REQUIRE(until([this] { return !HeldLooks.empty(); }));
-    auto since = TimerService::now();
-    until([&] { return TimerService::now() >= since + HeldFor; });
-    return since;
+    HoldsPolls = true;
+    REQUIRE(until([this] { return !HeldPolls.empty(); }));
+    auto startedAt = TimerService::now();
+    until([&] { return TimerService::now() >= startedAt + HeldFor; });
+    return startedAt;
   }
 
-  /// Tells the node again and again, as an owner does.
-  void tellAgainAndAgain(Span age, Span onItsWay = Span(0)) {
-    Telling = Timers.every(milliseconds(20), [this, age, onItsWay](Instant) {
-      ++Tellings;
-      RegistryUpdate news;
-      news.OperatorFrom = news.ReplicaFrom = Position;
-      news.OperatorPosition = news.ReplicaPosition = Position;
-      news.ReplicaAgeUs = news.OperatorAgeUs = age.count();
-      Watch->onPeerUpdate(news, TimerService::now() - onItsWay);
+  /// Sends the node an update without changes every 20 ms, as an owner does.
+  /// `age` is the age of the state, `transit` how long a message takes.
+  void startPeerUpdates(Span age, Span transit = Span(0)) {
+    UpdateTimer = Timers.every(milliseconds(20), [this, age, transit](Instant) {
+      ++UpdateCount;
+      RegistryUpdate update;
+      update.OperatorFrom = update.ReplicaFrom = Position;
+      update.OperatorPosition = update.ReplicaPosition = Position;
+      update.ReplicaAgeUs = update.OperatorAgeUs = age.count();
+      Watcher->onPeerUpdate(update, TimerService::now() - transit);
     });
   }
-  bool untilTold(int times) {
-    return until([this, times] { return Tellings >= times; });
+  bool untilUpdates(int times) {
+    return until([this, times] { return UpdateCount >= times; });
   }
 
   EventLog Log;
   TimerService Timers;
   std::uint64_t Position = 10;
-  bool Tells = false;
-  bool StandsBy = false;
-  /// Looks that wait for declarations are not answered yet.
-  bool Holds = false;
-  std::vector<RegistryCallback<OperatorChanges>> HeldLooks;
-  /// The registry answers no reading of everything.
-  bool Away = false;
-  int Reads = 0;
-  int Looks = 0;
-  int Waits = 0;
-  int News = 0;
-  std::size_t Versions = 0;
+  bool InformsPeers = false;
+  bool IsStandby = false;
+  /// Polls of declarations are kept open in `HeldPolls`.
+  bool HoldsPolls = false;
+  std::vector<RegistryCallback<OperatorChanges>> HeldPolls;
+  /// The registry fails all reads of its whole state.
+  bool Unavailable = false;
+  int FullReads = 0;
+  int ReplicaPolls = 0;
+  int OperatorPolls = 0;
+  int ChangeReports = 0;
+  std::size_t VersionCount = 0;
   std::vector<std::string> Present;
-  int Tellings = 0;
-  std::unique_ptr<RegistryWatcher> Watch;
-  TimerService::Subscription Telling;
+  int UpdateCount = 0;
+  std::unique_ptr<RegistryWatcher> Watcher;
+  TimerService::Subscription UpdateTimer;
 };
 
 } // namespace
 
-TEST_CASE("a node that is told of the registry does not look", "[gateway]") {
-  WatchFixture it;
-  it.tellAgainAndAgain(Span(0));
-  // The look that waits for declarations ends by itself.
-  REQUIRE(it.untilTold(10));
-  it.Looks = it.Waits = 0;
-  REQUIRE(it.untilTold(30));
-  CHECK(it.Looks == 0);
-  CHECK(it.Waits == 0);
+TEST_CASE("a node that receives updates does not poll the registry",
+          "[gateway]") {
+  WatcherFixture it;
+  it.startPeerUpdates(Span(0));
+  // The poll of declarations that is open ends by itself.
+  REQUIRE(it.untilUpdates(10));
+  it.ReplicaPolls = it.OperatorPolls = 0;
+  REQUIRE(it.untilUpdates(30));
+  CHECK(it.ReplicaPolls == 0);
+  CHECK(it.OperatorPolls == 0);
 }
 
-TEST_CASE("a node looks again when the one that told it falls silent",
-          "[gateway]") {
-  WatchFixture it(milliseconds(50), milliseconds(80));
-  it.tellAgainAndAgain(Span(0));
-  REQUIRE(it.untilTold(10));
-  it.Telling.reset();
-  it.Looks = it.Waits = 0;
-  CHECK(it.until([&] { return it.Looks > 0 && it.Waits > 0; }));
+TEST_CASE("a node polls again when an owner's updates end", "[gateway]") {
+  WatcherFixture it(milliseconds(50), milliseconds(80));
+  it.startPeerUpdates(Span(0));
+  REQUIRE(it.untilUpdates(10));
+  it.UpdateTimer.reset();
+  it.ReplicaPolls = it.OperatorPolls = 0;
+  CHECK(it.until([&] { return it.ReplicaPolls > 0 && it.OperatorPolls > 0; }));
 }
 
-TEST_CASE("a node that has to tell others looks though it is told",
-          "[gateway]") {
-  WatchFixture it;
-  it.Tells = true;
-  it.tellAgainAndAgain(Span(0));
-  CHECK(it.until([&] { return it.Looks > 2 && it.Waits > 2; }));
+TEST_CASE(
+    "a node that sends updates to others polls though it receives updates",
+    "[gateway]") {
+  WatcherFixture it;
+  it.InformsPeers = true;
+  it.startPeerUpdates(Span(0));
+  CHECK(it.until([&] { return it.ReplicaPolls > 2 && it.OperatorPolls > 2; }));
 }
 
-TEST_CASE("news with old knowledge do not keep a node from looking",
+TEST_CASE("updates with old state do not keep a node from polling",
           "[gateway]") {
-  WatchFixture it(milliseconds(50));
-  it.tellAgainAndAgain(std::chrono::seconds(1));
-  CHECK(it.until([&] { return it.Looks > 2 && it.Waits > 2; }));
+  WatcherFixture it(milliseconds(50));
+  it.startPeerUpdates(std::chrono::seconds(1));
+  CHECK(it.until([&] { return it.ReplicaPolls > 2 && it.OperatorPolls > 2; }));
 }
 
-TEST_CASE("news that were on their way for long do not keep a node from "
-          "looking",
+TEST_CASE("updates that were delayed for long do not keep a node from polling",
           "[late-news]") {
-  WatchFixture it(milliseconds(50));
-  it.tellAgainAndAgain(Span(0), std::chrono::seconds(1));
-  CHECK(it.until([&] { return it.Looks > 2 && it.Waits > 2; }));
+  WatcherFixture it(milliseconds(50));
+  it.startPeerUpdates(Span(0), std::chrono::seconds(1));
+  CHECK(it.until([&] { return it.ReplicaPolls > 2 && it.OperatorPolls > 2; }));
 }
 
-// While the registry turns the owner away, those in service find out for
-// themselves at once; all others only where the bounds would not hold.
-TEST_CASE("a node that stands by is told older things before it looks itself",
+// While the registry refuses the owner, nodes in service poll at once; standby
+// nodes poll only where the bounds would be exceeded otherwise.
+TEST_CASE("a standby node accepts older updates before it polls itself",
           "[gateway]") {
-  bool standsBy = GENERATE(true, false);
-  WatchFixture it(milliseconds(50));
-  it.StandsBy = standsBy;
-  it.tellAgainAndAgain(milliseconds(500));
-  REQUIRE(it.untilTold(10));
-  it.Looks = it.Waits = 0;
-  REQUIRE(it.untilTold(30));
-  CHECK((it.Looks == 0) == standsBy);
-  CHECK((it.Waits == 0) == standsBy);
+  bool isStandby = GENERATE(true, false);
+  WatcherFixture it(milliseconds(50));
+  it.IsStandby = isStandby;
+  it.startPeerUpdates(milliseconds(500));
+  REQUIRE(it.untilUpdates(10));
+  it.ReplicaPolls = it.OperatorPolls = 0;
+  REQUIRE(it.untilUpdates(30));
+  CHECK((it.ReplicaPolls == 0) == isStandby);
+  CHECK((it.OperatorPolls == 0) == isStandby);
 }
 
-// Callers come to it as well, and the registry may turn away the owner alone.
-TEST_CASE("a node that stands by looks itself before a bound is over",
+// It may get callers as well, and the registry may refuse only the owner.
+TEST_CASE("a standby node polls itself before a bound is exceeded",
           "[gateway]") {
-  WatchFixture it(milliseconds(50));
-  it.StandsBy = true;
-  it.tellAgainAndAgain(std::chrono::seconds(2));
-  CHECK(it.until([&] { return it.Looks > 2 && it.Waits > 2; }));
+  WatcherFixture it(milliseconds(50));
+  it.IsStandby = true;
+  it.startPeerUpdates(std::chrono::seconds(2));
+  CHECK(it.until([&] { return it.ReplicaPolls > 2 && it.OperatorPolls > 2; }));
 }
 
-TEST_CASE("a node that another tells all at its start reads nothing",
+TEST_CASE("a node that gets a peer's whole state at its start reads nothing",
           "[gateway]") {
-  WatchFixture it(Long, Long, false);
-  it.StandsBy = true;
-  it.Watch->start(milliseconds(100));
-  it.Watch->onBriefed({10, 10}, Span(0), Span(0), TimerService::now());
-  it.tellAgainAndAgain(Span(0));
-  REQUIRE(it.untilTold(15));
-  CHECK(it.Reads == 0);
-  CHECK(it.Looks == 0);
-  CHECK(it.Watch->positions().Operator == 10);
-  CHECK(it.Watch->positions().Replica == 10);
+  WatcherFixture it(Forever, Forever, false);
+  it.IsStandby = true;
+  it.Watcher->start(milliseconds(100));
+  it.Watcher->onBriefed({10, 10}, Span(0), Span(0), TimerService::now());
+  it.startPeerUpdates(Span(0));
+  REQUIRE(it.untilUpdates(15));
+  CHECK(it.FullReads == 0);
+  CHECK(it.ReplicaPolls == 0);
+  CHECK(it.Watcher->positions().Operator == 10);
+  CHECK(it.Watcher->positions().Replica == 10);
 }
 
-TEST_CASE("what a node has seen itself is not undone by what it is told",
+TEST_CASE("a peer's older state does not replace what a node has polled itself",
           "[gateway]") {
-  WatchFixture it;
-  it.Watch->onBriefed({4, 4}, Span(0), Span(0), TimerService::now());
-  CHECK(it.Watch->positions().Operator == 10);
-  CHECK(it.Watch->positions().Replica == 10);
+  WatcherFixture it;
+  it.Watcher->onBriefed({4, 4}, Span(0), Span(0), TimerService::now());
+  CHECK(it.Watcher->positions().Operator == 10);
+  CHECK(it.Watcher->positions().Replica == 10);
 }
 
-// After the loss of all while the registry is away, few ask it.
-TEST_CASE("of nodes that know nothing those that stand by ask more rarely",
+// After all state was lost while the registry is unavailable, few nodes poll
+// it.
+TEST_CASE("standby nodes without state poll less often than others",
           "[gateway]") {
-  int reads[2] = {0, 0};
-  for (bool standsBy : {false, true}) {
-    WatchFixture it(Long, Long, false);
-    it.StandsBy = standsBy;
-    it.Away = true;
-    it.Watch->start(Span(0));
-    bool passed = false;
-    it.Timers.after(milliseconds(300), [&](Instant) { passed = true; });
-    REQUIRE(it.until([&] { return passed; }));
-    reads[standsBy ? 1 : 0] = it.Reads;
+  int readCounts[2] = {0, 0};
+  for (bool isStandby : {false, true}) {
+    WatcherFixture it(Forever, Forever, false);
+    it.IsStandby = isStandby;
+    it.Unavailable = true;
+    it.Watcher->start(Span(0));
+    bool timeIsOver = false;
+    it.Timers.after(milliseconds(300), [&](Instant) { timeIsOver = true; });
+    REQUIRE(it.until([&] { return timeIsOver; }));
+    readCounts[isStandby ? 1 : 0] = it.FullReads;
   }
-  CHECK(reads[1] >= 2);
-  CHECK(reads[1] <= 4);
-  CHECK(reads[0] > 2 * reads[1]);
+  CHECK(readCounts[1] >= 2);
+  CHECK(readCounts[1] <= 4);
+  CHECK(readCounts[0] > 2 * readCounts[1]);
 }
 
-TEST_CASE("news are taken only where they follow on what is known",
+TEST_CASE("updates are applied only if they continue the known positions",
           "[gateway]") {
-  WatchFixture it;
-  RegistryUpdate news;
-  news.ReplicaFrom = 10;
-  news.ReplicaPosition = 12;
-  news.Registered = {{{{"i-1", "text"}}, {}}};
-  SECTION("those that do") {
-    it.Watch->onPeerUpdate(news, TimerService::now());
+  WatcherFixture it;
+  RegistryUpdate update;
+  update.ReplicaFrom = 10;
+  update.ReplicaPosition = 12;
+  update.Registered = {{{{"i-1", "text"}}, {}}};
+  SECTION("an update that continues them is applied") {
+    it.Watcher->onPeerUpdate(update, TimerService::now());
     CHECK(it.Present == std::vector<std::string>{"i-1"});
-    CHECK(it.Watch->positions().Replica == 12);
+    CHECK(it.Watcher->positions().Replica == 12);
   }
-  SECTION("not behind a gap") {
-    news.ReplicaFrom = 11;
-    it.Watch->onPeerUpdate(news, TimerService::now());
+  SECTION("an update after a gap is ignored") {
+    update.ReplicaFrom = 11;
+    it.Watcher->onPeerUpdate(update, TimerService::now());
     CHECK(it.Present.empty());
-    CHECK(it.Watch->positions().Replica == 10);
+    CHECK(it.Watcher->positions().Replica == 10);
   }
-  SECTION("not twice") {
-    it.Watch->onPeerUpdate(news, TimerService::now());
-    news.ReplicaPosition = 11;
-    it.Watch->onPeerUpdate(news, TimerService::now());
+  SECTION("an update is not applied twice") {
+    it.Watcher->onPeerUpdate(update, TimerService::now());
+    update.ReplicaPosition = 11;
+    it.Watcher->onPeerUpdate(update, TimerService::now());
     CHECK(it.Present.size() == 1);
   }
 }
 
-// A node whose position has passed what it could not read never asks for it
-// again, and the plan before stays in force until the next one.
-TEST_CASE("a node does not pass what it was told and can't read", "[gateway]") {
-  WatchFixture it;
-  RegistryUpdate news;
-  news.ReplicaFrom = news.OperatorFrom = 10;
-  news.ReplicaPosition = news.OperatorPosition = 12;
+// A node whose position has passed an entry that it can't parse never requests
+// it again, and the previous plan stays in force until the next one.
+TEST_CASE("a position does not pass an entry that can't be parsed",
+          "[gateway]") {
+  WatcherFixture it;
+  RegistryUpdate update;
+  update.ReplicaFrom = update.OperatorFrom = 10;
+  update.ReplicaPosition = update.OperatorPosition = 12;
   SECTION("a plan") {
-    news.Declared = {{"unreadable", {}}};
-    it.Watch->onPeerUpdate(news, TimerService::now());
-    CHECK(it.Watch->positions().Operator == 10);
-    CHECK(it.Watch->positions().Replica == 12);
+    update.Declared = {{"unreadable", {}}};
+    it.Watcher->onPeerUpdate(update, TimerService::now());
+    CHECK(it.Watcher->positions().Operator == 10);
+    CHECK(it.Watcher->positions().Replica == 12);
   }
   SECTION("a replica") {
-    news.Registered = {{{{"i-1", "unreadable"}}, {}}};
-    it.Watch->onPeerUpdate(news, TimerService::now());
-    CHECK(it.Watch->positions().Operator == 12);
-    CHECK(it.Watch->positions().Replica == 10);
+    update.Registered = {{{{"i-1", "unreadable"}}, {}}};
+    it.Watcher->onPeerUpdate(update, TimerService::now());
+    CHECK(it.Watcher->positions().Operator == 12);
+    CHECK(it.Watcher->positions().Replica == 10);
   }
 }
 
-TEST_CASE("news make a name no younger though a peer told all meanwhile",
+TEST_CASE("a version's age counts from the poll though a peer sent its "
+          "declarations meanwhile",
           "[gateway]") {
-  WatchFixture it;
-  auto heldAt = it.holdLook();
-  it.Watch->onDeclared(Span(0), TimerService::now());
-  it.HeldLooks[0](
+  WatcherFixture it;
+  auto heldAt = it.holdPoll();
+  it.Watcher->onDeclared(Span(0), TimerService::now());
+  it.HeldPolls[0](
       OperatorChanges{nullptr, {{WeightsRef::parse("m/a"), 3}}, 11});
-  auto told = it.Watch->updateSince({10, 10});
-  REQUIRE(told.Declared.size() == 1);
-  CHECK(Span(told.Declared[0].Versions[0].AgeUs) >=
+  auto sentUpdate = it.Watcher->updateSince({10, 10});
+  REQUIRE(sentUpdate.Declared.size() == 1);
+  CHECK(Span(sentUpdate.Declared[0].Versions[0].AgeUs) >=
         TimerService::now() - heldAt - milliseconds(1));
 }
 
-TEST_CASE("a look that is answered early speaks for no more than its question",
-          "[gateway]") {
-  WatchFixture it;
-  auto heldAt = it.holdLook();
+TEST_CASE(
+    "a poll that is answered early confirms the state only as of its request",
+    "[gateway]") {
+  WatcherFixture it;
+  auto heldAt = it.holdPoll();
   // Something changed that is neither a plan nor a version.
-  it.HeldLooks[0](OperatorChanges{nullptr, {}, 11, true});
-  CHECK(it.Watch->confirmedAge() >=
+  it.HeldPolls[0](OperatorChanges{nullptr, {}, 11, true});
+  CHECK(it.Watcher->confirmedAge() >=
         TimerService::now() - heldAt - milliseconds(1));
 }
 
-TEST_CASE("what a node was told it tells on", "[gateway]") {
-  WatchFixture it;
-  RegistryUpdate news;
-  news.ReplicaFrom = news.OperatorFrom = 10;
-  news.ReplicaPosition = news.OperatorPosition = 12;
-  news.Registered = {{{{"i-1", "text"}}, {}}};
-  news.Declared = {{"", {{"m/a", 3}}}};
-  it.Watch->onPeerUpdate(news, TimerService::now());
-  CHECK(it.News == 2);
-  CHECK(it.Versions == 1);
-  auto told = it.Watch->updateSince({10, 10});
-  REQUIRE(told.Registered.size() == 1);
-  CHECK(told.Registered[0].Present[0].first == "i-1");
-  REQUIRE(told.Declared.size() == 1);
-  CHECK(told.Declared[0].Versions[0].Version == 3);
-  CHECK(told.ReplicaPosition == 12);
-  CHECK(it.Watch->updateSince({1, 1}).ReplicaPosition == 0);
+TEST_CASE("a node forwards the updates that it receives", "[gateway]") {
+  WatcherFixture it;
+  RegistryUpdate update;
+  update.ReplicaFrom = update.OperatorFrom = 10;
+  update.ReplicaPosition = update.OperatorPosition = 12;
+  update.Registered = {{{{"i-1", "text"}}, {}}};
+  update.Declared = {{"", {{"m/a", 3}}}};
+  it.Watcher->onPeerUpdate(update, TimerService::now());
+  CHECK(it.ChangeReports == 2);
+  CHECK(it.VersionCount == 1);
+  auto sentUpdate = it.Watcher->updateSince({10, 10});
+  REQUIRE(sentUpdate.Registered.size() == 1);
+  CHECK(sentUpdate.Registered[0].Present[0].first == "i-1");
+  REQUIRE(sentUpdate.Declared.size() == 1);
+  CHECK(sentUpdate.Declared[0].Versions[0].Version == 3);
+  CHECK(sentUpdate.ReplicaPosition == 12);
+  CHECK(it.Watcher->updateSince({1, 1}).ReplicaPosition == 0);
 }
 
-// A suspended host's buffers may keep a message for long.
-TEST_CASE("time that news were on their way never makes a version younger",
-          "[gateway]") {
-  WatchFixture it(Long, Long, false);
+// Buffers of a suspended host may delay a message for long.
+TEST_CASE("the delay of an update never makes a version younger", "[gateway]") {
+  WatcherFixture it(Forever, Forever, false);
   auto now = TimerService::now();
-  static constexpr Span Known = std::chrono::hours(1);
-  static constexpr Span OnWay = std::chrono::minutes(1);
-  it.Watch->onBriefed({10, 10}, Span(0), Span(0), now - Known);
-  RegistryUpdate news;
-  news.OperatorFrom = 10;
-  news.OperatorPosition = 12;
-  auto [age, least, most] =
-      GENERATE(table<Span, Span, Span>({{Span(0), OnWay, 2 * OnWay},
-                                        {OnWay, 2 * OnWay, 3 * OnWay},
-                                        // What was not known then came later.
-                                        {2 * Known, Known, 2 * Known}}));
-  news.Declared = {{"", {{"m/a", 3, age.count()}}}};
-  it.Watch->onPeerUpdate(news, now - OnWay);
-  auto told = it.Watch->updateSince({10, 10});
-  REQUIRE(told.Declared.size() == 1);
-  auto named = Span(told.Declared[0].Versions[0].AgeUs);
-  CHECK(named >= least);
-  CHECK(named < most);
-  CHECK(Span(told.OperatorAgeUs) >= OnWay);
+  static constexpr Span ConfirmedAgo = std::chrono::hours(1);
+  static constexpr Span Transit = std::chrono::minutes(1);
+  it.Watcher->onBriefed({10, 10}, Span(0), Span(0), now - ConfirmedAgo);
+  RegistryUpdate update;
+  update.OperatorFrom = 10;
+  update.OperatorPosition = 12;
+  auto [age, minAge, maxAge] = GENERATE(table<Span, Span, Span>(
+      {{Span(0), Transit, 2 * Transit},
+       {Transit, 2 * Transit, 3 * Transit},
+       // What was unknown at the briefing was declared later.
+       {2 * ConfirmedAgo, ConfirmedAgo, 2 * ConfirmedAgo}}));
+  update.Declared = {{"", {{"m/a", 3, age.count()}}}};
+  it.Watcher->onPeerUpdate(update, now - Transit);
+  auto sentUpdate = it.Watcher->updateSince({10, 10});
+  REQUIRE(sentUpdate.Declared.size() == 1);
+  auto versionAge = Span(sentUpdate.Declared[0].Versions[0].AgeUs);
+  CHECK(versionAge >= minAge);
+  CHECK(versionAge < maxAge);
+  CHECK(Span(sentUpdate.OperatorAgeUs) >= Transit);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Node/Gateway/ReplacedVersionTest.cpp
+++ b/UnitTests/Node/Gateway/ReplacedVersionTest.cpp
@@ -7,7 +7,7 @@
 const WeightsRef Adapter{"m", "a1"};
 constexpr Span Bound = milliseconds(800);
 
-/// An engine that holds version 1 of an adapter, and a caller who asks for it.
+/// An engine that holds version 1 of an adapter, and a caller that requests it.
 struct ReplacedFixture : GatewayFixture {
   ReplacedFixture() {
     Settings.VersionBound = Bound;
@@ -27,20 +27,20 @@
     platform.addReplica(Replica.address());
   }
 
-  void pass(Span span) {
+  void runFor(Span span) {
     auto end = TimerService::now() + span;
     until([end] { return TimerService::now() >= end; });
   }
 
-  void askOn(const std::string &address) {
+  void sendRequestTo(const std::string &address) {
     Peer = std::make_unique<RawPeer>(Context);
     Peer->connect(parseEndpoint(address).port());
     Peer->send("GET /x/y HTTP/1.1\r\nHost: a.example\r\nId: r1\r\n"
                "Weights: m/a1\r\n\r\n");
   }
-  void askFirst() { askOn(Settings.CallerAddress); }
+  void sendRequest() { sendRequestTo(Settings.CallerAddress); }
 
-  /// Whether what was asked reaches the engine with version 1.
+  /// Whether the request reaches the engine, which has version 1.
   bool reachesOldVersion() {
     until([this] { return Peer->Got.find("\r\n\r\n") != std::string::npos; });
     return !Replica.Requests.empty();
@@ -49,9 +49,9 @@
   std::unique_ptr<RawPeer> Peer;
 };
 
-/// A second node, which the registry turns away and the first one tells all.
-struct PeerToldNode : SecondNode {
-  explicit PeerToldNode(ReplacedFixture &first) : SecondNode(first) {
+/// A second node, which the registry refuses and the first one sends its state.
+struct PeerInformedNode : SecondNode {
+  explicit PeerInformedNode(ReplacedFixture &first) : SecondNode(first) {
     first.holdOldVersion(Platform);
     Platform.Known = first.Platform.Known;
     Platform.Away = true;
@@ -61,78 +61,82 @@
 
 } // namespace
 
-TEST_CASE("a version is used on while a node knows that its successor is new",
-          "[gateway]") {
+TEST_CASE(
+    "a replaced version is used while the declaration of its successor is "
+    "known to be recent",
+    "[gateway]") {
   ReplacedFixture it;
   it.start();
   REQUIRE(it.untilReady());
   it.Platform.name(Adapter, 2);
   it.settle();
-  SECTION("by its own look") {
-    it.askFirst();
+  SECTION("by its own poll") {
+    it.sendRequest();
     CHECK(it.reachesOldVersion());
   }
-  SECTION("by a peer's word at its start") {
-    PeerToldNode second(it);
-    it.askOn(second.Settings.CallerAddress);
+  SECTION("by a peer's state at its start") {
+    PeerInformedNode second(it);
+    it.sendRequestTo(second.Settings.CallerAddress);
     CHECK(it.reachesOldVersion());
   }
 }
 
-TEST_CASE("a version is not used after its bound though a node knows its "
-          "successor only from its start",
+TEST_CASE("a replaced version is not used beyond its bound if the node reads "
+          "its successor only at its start",
           "[gateway]") {
   ReplacedFixture it;
   it.Platform.name(Adapter, 2);
-  it.pass(Bound);
+  it.runFor(Bound);
   it.start();
   REQUIRE(it.untilReady());
-  it.askFirst();
+  it.sendRequest();
   CHECK_FALSE(it.reachesOldVersion());
 }
 
-TEST_CASE("a version is not used after its bound though a peer told of its "
-          "successor late",
-          "[gateway]") {
+TEST_CASE(
+    "a replaced version is not used beyond its bound if a peer reports its "
+    "successor late",
+    "[gateway]") {
   ReplacedFixture it;
   it.start();
   REQUIRE(it.untilReady());
   it.Platform.name(Adapter, 2);
-  it.pass(Bound);
-  PeerToldNode second(it);
-  it.askOn(second.Settings.CallerAddress);
+  it.runFor(Bound);
+  PeerInformedNode second(it);
+  it.sendRequestTo(second.Settings.CallerAddress);
   CHECK_FALSE(it.reachesOldVersion());
 }
 
-TEST_CASE("a version is not used after its bound though the look that tells of "
-          "its successor was answered late",
+TEST_CASE("a replaced version is not used beyond its bound if the poll that "
+          "returns its successor is answered late",
           "[gateway]") {
   ReplacedFixture it;
   it.start();
   REQUIRE(it.untilReady());
   it.Platform.Deaf = true;
   it.Platform.name(Adapter, 2);
-  it.pass(Bound);
+  it.runFor(Bound);
   it.Platform.Deaf = false;
   it.Platform.tellWaiting();
   it.settle();
-  it.askFirst();
+  it.sendRequest();
   CHECK_FALSE(it.reachesOldVersion());
 }
 
-TEST_CASE("a request that an engine holds back does not begin on a version "
-          "that is replaced meanwhile",
-          "[gateway]") {
+TEST_CASE(
+    "a request that an engine has queued does not begin on a version that "
+    "is replaced meanwhile",
+    "[gateway]") {
   ReplacedFixture it;
   it.Replica.Answer = nullptr;
   it.start();
   REQUIRE(it.untilReady());
-  it.askFirst();
+  it.sendRequest();
   REQUIRE(it.until([&] { return it.Replica.Requests.size() == 1; }));
-  auto namedAt = TimerService::now();
+  auto declaredAt = TimerService::now();
   it.Platform.name(Adapter, 2);
   REQUIRE(it.until([&] { return it.Replica.Ended == 1; }));
-  CHECK(TimerService::now() - namedAt < Bound);
+  CHECK(TimerService::now() - declaredAt < Bound);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Node/Gateway/ScriptedReplica.h
+++ b/UnitTests/Node/Gateway/ScriptedReplica.h
@@ -7,16 +7,16 @@
 
 namespace hemlockglade::test {
 
-/// A replica that answers each request with what the test says, byte for byte.
+/// A replica that answers each request with the bytes that the test gives.
 class ScriptedReplica {
 public:
   enum class Then : std::uint8_t {
     Keep,
     Close,
     Reset,
-    /// Ends as a process does: nobody listens, all connections are gone.
+    /// As when the process ends: stops listening and resets all connections.
     Crash,
-    /// Ends, while something else at its address still accepts connections.
+    /// Resets all connections, while its address still accepts new ones.
     CrashBehindListener,
   };
   struct Step {
@@ -37,7 +37,7 @@
     return Loopback::address(Acceptor.local_endpoint().port());
   }
 
-  /// Stops listening, as a replica that is gone.
+  /// Stops listening; open connections stay.
   void stop() { Acceptor.close(); }
 
   void crash() {
@@ -46,7 +46,7 @@
     cutAll();
   }
 
-  /// All connections are gone.
+  /// Resets all connections.
   void cutAll() {
     Crashed = true;
     asio::error_code ec;
@@ -57,14 +57,15 @@
       }
   }
 
-  /// Says what to do with a request, in place of the script.
+  /// Returns what to do with a request; used in place of the script if set.
   std::function<Step(const Request &)> Answer;
   bool Crashed = false;
 
-  /// One for each request, in order; none means silence.
+  /// One step for each request, in order; a request beyond the last step is
+  /// not answered.
   std::vector<Step> Script;
   std::vector<Request> Requests;
-  /// Connections that the other side has ended.
+  /// Connections that have ended.
   int Ended = 0;
 
 private:
