--- a/Hemlockglade/Coordination/Decision/AdapterTable.cpp
+++ b/Hemlockglade/Coordination/Decision/AdapterTable.cpp
@@ -4,7 +4,7 @@
 
 namespace hemlockglade {
 
-bool ActiveAdapter::allows(DomainKey domain) const {
+bool ActiveAdapter::isAllowedIn(DomainKey domain) const {
   return Domains.empty() ||
          std::binary_search(Domains.begin(), Domains.end(), domain);
 }
@@ -30,10 +30,10 @@
     Pool.emplace_back(Memory);
     Free.push_back(static_cast<std::uint32_t>(Pool.size()));
   }
-  std::uint32_t place = Free.back();
+  std::uint32_t position = Free.back();
   Free.pop_back();
-  Index[adapter] = place;
-  auto &active = Pool[place - 1];
+  Index[adapter] = position;
+  auto &active = Pool[position - 1];
   active.Key = adapter;
   return active;
 }
--- a/Hemlockglade/Coordination/Decision/AdapterTable.h
+++ b/Hemlockglade/Coordination/Decision/AdapterTable.h
@@ -8,9 +8,9 @@
 
 namespace hemlockglade {
 
-/// A waiting request's place in its adapter's queue; the lowest goes first.
+/// A waiting request's position in its adapter's queue, in ascending order.
 struct WaitKey {
-  /// Time of arrival, moved ahead by the class priority.
+  /// Time of arrival, made earlier by the class priority.
   Instant Rank{};
   RequestKey Request = 0;
 
@@ -19,56 +19,59 @@
   auto operator<=>(const WaitKey &) const = default;
 };
 
-/// Copies of an adapter that operators want to stay loaded.
-struct PinWish {
+/// Number of copies of an adapter that operators want to keep loaded.
+struct PinTarget {
   /// 0 for any failure domain.
   DomainKey Domain = 0;
   std::uint32_t Copies = 0;
 };
 
-/// An adapter that is loaded, waited for, pinned, bound by a rule or failing.
+/// An adapter that has residents, waiting requests, pins, a placement rule or
+/// recent load failures.
 struct ActiveAdapter {
   explicit ActiveAdapter(std::pmr::memory_resource *memory) : Queue(memory) {}
 
   AdapterKey Key = NoAdapter;
-  /// Replicas whose books name the adapter, in whatever state.
+  /// Replicas on which the adapter has a resident, in whatever state.
   std::vector<ReplicaKey> Holders;
   std::pmr::set<WaitKey> Queue;
   /// Sum of the class weights of the waiting requests.
   std::uint64_t Weight = 0;
   /// Deadline of the first request in the queue.
   Instant HeadDeadline{};
-  std::vector<PinWish> Pins;
+  std::vector<PinTarget> Pins;
   /// Failure domains that a rule allows, sorted; empty for all.
   std::vector<DomainKey> Domains;
-  /// No load is tried before.
+  /// No load is ordered before this time.
   Instant NotBefore{};
-  /// Loads that failed since the last that did not.
+  /// Consecutive failed loads.
   std::uint32_t Failures = 0;
-  /// Whether it stands in the load planner's indexes, and under which keys.
+  /// Whether it is in the load planner's indexes; the `Planned...` members
+  /// below are its keys there.
   bool Planned = false;
-  /// The load would be a further copy.
+  /// The load would add a copy to those that serve already.
   bool Copy = false;
   std::uint64_t PlannedWeight = 0;
   Instant PlannedDeadline{};
-  /// Class of the first request at the time of planning.
+  /// Class of the first waiting request when the adapter was entered.
   std::uint8_t PlannedPriority = 0;
 
-  /// Whether a rule lets the adapter's work run in `domain`.
-  bool allows(DomainKey domain) const;
+  /// Returns whether the placement rule allows the adapter in `domain`.
+  bool isAllowedIn(DomainKey domain) const;
 };
 
-/// Finds adapters by key. An idle adapter costs four bytes here.
+/// Maps adapter keys to the state of active adapters. An idle adapter costs
+/// four bytes.
 class AdapterTable {
 public:
   explicit AdapterTable(std::pmr::memory_resource *memory) : Memory(memory) {}
 
-  /// The adapter if it is active.
+  /// Returns the adapter, or null if it is not active.
   ActiveAdapter *find(AdapterKey adapter);
   const ActiveAdapter *find(AdapterKey adapter) const;
-  /// The adapter, made active.
+  /// Returns the adapter; makes it active if it is not.
   ActiveAdapter &obtain(AdapterKey adapter);
-  /// Forgets the adapter if nothing is known of it.
+  /// Makes the adapter idle if none of its state is worth keeping.
   void release(AdapterKey adapter);
 
 private:
--- a/Hemlockglade/Coordination/Decision/CellCore.cpp
+++ b/Hemlockglade/Coordination/Decision/CellCore.cpp
@@ -3,71 +3,71 @@
 namespace hemlockglade {
 
 CellCore::CellCore(const CellCoreSettings &settings, CellCoreHooks hooks)
-    : State(settings, std::move(hooks)), Desk(State), Residency(State),
-      Orders(State), Rests(State) {}
+    : State(settings, std::move(hooks)), Admission(State), Residency(State),
+      Orders(State), ReplicaConsolidation(State) {}
 
 void CellCore::handle(const Event &event, Instant now,
                       std::vector<Action> &actions) {
-  // Time never runs backwards, whatever the driver's clock says.
+  // The driver's clock may step back; the core's time does not.
   State.Now = std::max(State.Now, now);
-  State.Out = &actions;
+  State.Actions = &actions;
   std::visit([this](const auto &it) { on(it); }, event);
   if (State.Mode != LeaseMode::None) {
-    Desk.giveUp();
+    Admission.refuseOverdue();
     Orders.cancelUnwanted();
     Orders.run();
   }
-  State.Out = nullptr;
+  State.Actions = nullptr;
 }
 
-void CellCore::on(const RequestArrived &event) { Desk.arrived(event); }
+void CellCore::on(const RequestArrived &event) { Admission.onArrived(event); }
 
 void CellCore::on(const RequestFinished &event) {
-  Desk.finished(event.Request);
+  Admission.onFinished(event.Request);
 }
 
-void CellCore::on(const RequestAdopted &event) { Desk.adopted(event); }
+void CellCore::on(const RequestAdopted &event) { Admission.onAdopted(event); }
 
 void CellCore::on(const LoadDone &event) {
-  if (Residency.loadDone(event))
-    Desk.serveAdapter(event.Adapter);
+  if (Residency.onLoadDone(event))
+    Admission.admitForAdapter(event.Adapter);
 }
 
-void CellCore::on(const LoadFailed &event) { Residency.loadFailed(event); }
+void CellCore::on(const LoadFailed &event) { Residency.onLoadFailed(event); }
 
 void CellCore::on(const EvictDone &event) {
-  if (Residency.evictDone(event))
-    Desk.serveAdapter(event.Adapter);
+  if (Residency.onEvictDone(event))
+    Admission.admitForAdapter(event.Adapter);
 }
 
 void CellCore::on(const ReplicaAdded &event) {
-  Residency.replicaAdded(event);
-  serveAllOn(event.Replica);
+  Residency.onReplicaAdded(event);
+  admitOnReplica(event.Replica);
 }
 
 void CellCore::on(const ReplicaRemoved &event) {
-  Residency.replicaRemoved(event.Replica);
+  Residency.onReplicaRemoved(event.Replica);
 }
 
 void CellCore::on(const ReplicaDraining &event) {
-  Residency.draining(event);
-  serveAllOn(event.Replica);
+  Residency.onDraining(event);
+  admitOnReplica(event.Replica);
 }
 
 void CellCore::on(const ReplicaReport &event) {
-  if (Residency.report(event))
-    serveAllOn(event.Replica);
+  if (Residency.onReport(event))
+    admitOnReplica(event.Replica);
 }
 
 void CellCore::on(const ReplicaSilent &event) {
-  Residency.silent(event.Replica);
+  Residency.onReportMissed(event.Replica);
 }
 
 void CellCore::on(const LeaseChanged &event) {
   LeaseMode before = State.Mode;
   State.Mode = event.Mode;
   if (event.Mode == LeaseMode::None) {
-    Desk.refuseAll(Reason::NotOwner);
+    Admission.refuseAll(Reason::NotOwner);
     Residency.forgetAll();
     return;
   }
@@ -80,14 +80,14 @@
   State.Limiter.setShare(event.Parallel, event.LoadsPerSecond);
 }
 
-void CellCore::on(const PinChanged &event) { Orders.pinChanged(event); }
+void CellCore::on(const PinChanged &event) { Orders.onPinChanged(event); }
 
 void CellCore::on(const RuleChanged &event) {
-  Orders.ruleChanged(event);
-  Desk.serveAdapter(event.Adapter);
+  Orders.onRuleChanged(event);
+  Admission.admitForAdapter(event.Adapter);
 }
 
-void CellCore::on(const OperatorLoad &event) { Orders.operatorLoad(event); }
+void CellCore::on(const OperatorLoad &event) { Orders.onOperatorLoad(event); }
 
 void CellCore::on(const ObjectiveChanged &event) {
   State.Settings.Objective = event.Objective;
@@ -96,14 +96,14 @@
 
 void CellCore::on(const Tick &) {
   Residency.expireOrders();
-  State.refreshSome();
-  if (auto *woken = Rests.run())
-    Desk.serveReplica(*woken);
+  State.refreshNext();
+  if (auto *activated = ReplicaConsolidation.run())
+    Admission.admitForReplica(*activated);
 }
 
-void CellCore::serveAllOn(ReplicaKey replica) {
+void CellCore::admitOnReplica(ReplicaKey replica) {
   if (auto *found = State.Replicas.find(replica))
-    Desk.serveReplica(*found);
+    Admission.admitForReplica(*found);
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/CellCore.h
+++ b/Hemlockglade/Coordination/Decision/CellCore.h
@@ -7,21 +7,21 @@
 
 namespace hemlockglade {
 
-/// The decisions of a cell's owner: which requests go where and when, and
-/// which adapters are loaded where. It has no clock, no sockets and no
-/// threads: the same events at the same times give the same actions.
+/// Decides for a cell's owner which requests are sent to which replica and
+/// when, and which adapters are loaded where. Deterministic: time is passed in,
+/// and it does no I/O and starts no threads.
 class CellCore {
 public:
   explicit CellCore(const CellCoreSettings &settings, CellCoreHooks hooks = {});
   CellCore(const CellCore &) = delete;
   CellCore &operator=(const CellCore &) = delete;
 
-  /// Takes in one event; what is to be done is appended to `actions`.
+  /// Handles one event and appends the resulting actions to `actions`.
   void handle(const Event &event, Instant now, std::vector<Action> &actions);
 
-  /// Requests that wait for a slot or a load.
+  /// Number of requests that wait for a place in a batch or for a load.
   std::size_t waiting() const { return State.Queues.size(); }
-  /// Requests that run.
+  /// Number of running requests.
   std::size_t running() const { return State.Running.size(); }
 
 private:
@@ -44,13 +44,13 @@
   void on(const ObjectiveChanged &event);
   void on(const Tick &event);
 
-  void serveAllOn(ReplicaKey replica);
+  void admitOnReplica(ReplicaKey replica);
 
   CellState State;
-  RequestAdmission Desk;
+  RequestAdmission Admission;
   ResidencyTracker Residency;
   OrderPlanner Orders;
-  Consolidation Rests;
+  Consolidation ReplicaConsolidation;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/CellReplicas.cpp
+++ b/Hemlockglade/Coordination/Decision/CellReplicas.cpp
@@ -58,7 +58,7 @@
   Resident it;
   it.Adapter = adapter;
   it.State = state;
-  it.Stay = ++LastStay;
+  it.ResidencyId = ++LastResidencyId;
   it.ChangedAt = now;
   it.LoadedAt = now;
   it.LastUsed = now;
--- a/Hemlockglade/Coordination/Decision/CellReplicas.h
+++ b/Hemlockglade/Coordination/Decision/CellReplicas.h
@@ -8,92 +8,99 @@
 
 namespace hemlockglade {
 
-/// What the books say of an adapter on a replica.
+/// State of an adapter on a replica.
 enum class ResidentState : std::uint8_t {
-  /// A load order is out.
+  /// A load order is open.
   Loading,
-  Loaded,
-  /// An evict order is out.
+  Resident,
+  /// An evict order is open.
   Evicting,
-  /// An order's answer is missing: it may be there or not. It keeps its slot
-  /// and gets no work until a report tells.
+  /// The answer to an order is missing: the adapter may be resident or not. It
+  /// keeps its slot and gets no work until a report settles it.
   Uncertain,
 };
 
-/// An adapter on a replica.
+/// The owner's record of an adapter on a replica.
 struct Resident {
   AdapterKey Adapter = NoAdapter;
   ResidentState State = ResidentState::Loading;
-  /// Tells this stay from an earlier one of the same adapter.
-  std::uint64_t Stay = 0;
-  /// Number of the last order while its answer may come, else 0.
+  /// Distinguishes this residency from an earlier one of the same adapter on
+  /// the same replica.
+  std::uint64_t ResidencyId = 0;
+  /// Number of the last order while its answer may still arrive, else 0.
   std::uint64_t Order = 0;
   /// Whether the last order was a load.
   bool OrderedLoad = false;
-  /// Known from a report only, so former owners may have used it.
+  /// Known only from a report, so requests of former owners may use it.
   bool FromReport = false;
-  /// An earlier load order of this stay may still be carried out, so that a
-  /// failure of the last does not mean that it is not there.
+  /// An earlier load order of this residency may still be carried out, so a
+  /// failure of the last order does not prove that the adapter is absent.
   bool Overlaps = false;
-  /// The engine restarted while the order was out.
+  /// The engine restarted while the order was open.
   bool Restarted = false;
-  /// Why it was loaded.
+  /// Reason for the last load order.
   Reason Why = Reason::Demand;
   std::uint32_t Running = 0;
-  /// Requests that the engine's last report says it runs.
-  std::uint32_t Reported = 0;
-  /// When the state changed last.
+  /// Requests of this adapter that the engine runs by its last report.
+  std::uint32_t ReportedRunning = 0;
+  /// Time of the last change of state.
   Instant ChangedAt{};
-  /// When its last load was ordered.
+  /// Time of the last load order.
   Instant LoadOrderedAt{};
-  /// A report that was true after this tells whether it is there.
+  /// A report taken after this time shows whether the adapter is resident.
   Instant SettledAfter{};
-  /// Whether it was uncertain when it was last ordered away.
+  /// Whether it was uncertain when its last order was given.
   bool WasUncertain = false;
   Instant LoadedAt{};
-  /// Our last admission or end of a request.
+  /// Time of this owner's last admission to it, or of the last end of a request
+  /// on it.
   Instant LastUsed{};
-  /// Its place in the eviction order, while it stands there.
+  /// Whether it is in the eviction order, and its value there.
   bool Idle = false;
   double Value = 0;
 };
 
-/// A replica as the owner's books have it.
+/// The owner's record of a replica.
 struct Replica {
   ReplicaKey Key = 0;
   ReplicaAdded Properties;
   bool Present = false;
   bool Draining = false;
-  /// Gets no work so that the batches of others fill.
-  bool Resting = false;
+  /// On standby: gets no work, so that the batches of the other replicas fill.
+  bool Standby = false;
   std::uint64_t Incarnation = 0;
-  /// When the newest report was true.
+  /// Time at which the newest report was taken.
   Instant ReportAt{};
-  bool Reported = false;
-  /// Reports missed in a row.
-  std::uint32_t Silent = 0;
+  bool HasReport = false;
+  /// Consecutive missed reports.
+  std::uint32_t MissedReports = 0;
   std::uint32_t Running = 0;
-  /// Requests that the engine runs and we don't know.
-  std::uint32_t Foreign = 0;
-  /// Requests until an engine that started cold counts as warm.
-  std::uint32_t ColdLeft = 0;
-  /// Loads that failed in a row, and when the next may be tried.
+  /// Requests that the engine runs beyond those that this owner has on record.
+  std::uint32_t UntrackedRunning = 0;
+  /// Requests that an engine which started cold must still serve to count as
+  /// warm.
+  std::uint32_t WarmupLeft = 0;
+  /// Consecutive failed loads, and the time before which no further load is
+  /// ordered.
   std::uint32_t LoadFailures = 0;
   Instant NoLoadBefore{};
-  /// When an order last changed what is loaded.
+  /// Time of the last order or answer that changed which adapters are resident.
   Instant OrderAt{};
   std::vector<Resident> Adapters;
 
   bool hasFreeSlot() const { return Adapters.size() < Properties.Slots; }
-  std::uint32_t inFlight() const { return Running + Foreign; }
+  std::uint32_t inFlight() const { return Running + UntrackedRunning; }
   bool hasRoom() const { return inFlight() < Properties.Batch; }
-  /// Requests at once at full speed, as measured.
+  /// Number of concurrent requests at full speed, as measured; the batch size
+  /// if not measured.
   double capacity() const;
 
-  /// Keeps the number of running requests as it was over the last changes,
-  /// so that a lagging report can be compared with its own time.
+  /// Changes the number of running requests by `by` and keeps a short history
+  /// of it, so that a lagging report can be compared with the value at its own
+  /// time.
   void changeRunning(int by, Instant now);
-  /// What the books said at `at`; nothing if that is too long ago.
+  /// Returns the number of running requests at `at`, or nothing if the history
+  /// does not reach that far back.
   std::optional<std::uint32_t> runningAt(Instant at) const;
 
 private:
@@ -107,29 +114,30 @@
   std::size_t SampleCount = 1;
 };
 
-/// All replicas of the cell, and which adapters they hold.
+/// The replicas of the cell and their residents.
 class CellReplicas {
 public:
   explicit CellReplicas(AdapterTable &adapters) : Adapters(adapters) {}
 
-  /// The replica, made known if it was not.
+  /// Returns the replica; adds it if it is not known.
   Replica &obtain(ReplicaKey replica);
-  /// The replica if the configuration has it.
+  /// Returns the replica, or null if it is not part of the configuration.
   Replica *find(ReplicaKey replica);
   std::span<Replica> all() { return Replicas; }
   std::span<const Replica> all() const { return Replicas; }
 
   Resident *resident(Replica &replica, AdapterKey adapter);
-  /// Enters an adapter that the replica's books don't have.
+  /// Adds a resident to a replica that has none for the adapter.
   Resident &add(Replica &replica, AdapterKey adapter, ResidentState state,
                 Instant now);
-  /// Strikes an adapter out. References to residents of the replica end.
+  /// Removes a resident. Invalidates references to the replica's other
+  /// residents.
   void remove(Replica &replica, AdapterKey adapter);
 
 private:
   AdapterTable &Adapters;
   std::vector<Replica> Replicas;
-  std::uint64_t LastStay = 0;
+  std::uint64_t LastResidencyId = 0;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/CellState.cpp
+++ b/Hemlockglade/Coordination/Decision/CellState.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t MostLost = 256;
-/// Ticks within which the whole eviction order is brought up to date.
+constexpr std::size_t MaxPrefetchCandidates = 256;
+/// Number of ticks in which the whole eviction order is updated once.
 constexpr std::size_t RefreshTicks = 32;
 
 } // namespace
@@ -19,20 +19,20 @@
       Queues(settings.Queues, &Memory), Planner(settings.Loads, &Memory),
       Limiter(settings.LoadLimits),
       Chooser(settings.Routing, settings.Objective, Replicas), Running(&Memory),
-      Backoffs(&Memory), PinsToCheck(&Memory), Lost(&Memory) {}
+      Backoffs(&Memory), PinsToCheck(&Memory), PrefetchCandidates(&Memory) {}
 
-bool CellState::serves(ReplicaKey replica, const ActiveAdapter &active) {
-  auto *found = Replicas.find(replica);
-  if (!found || !Chooser.serves(*found, active))
+bool CellState::canServe(ReplicaKey replica, const ActiveAdapter &active) {
+  auto *record = Replicas.find(replica);
+  if (!record || !Chooser.canServe(*record, active))
     return false;
-  auto *resident = Replicas.resident(*found, active.Key);
-  return resident && resident->State == ResidentState::Loaded;
+  auto *resident = Replicas.resident(*record, active.Key);
+  return resident && resident->State == ResidentState::Resident;
 }
 
-std::uint32_t CellState::servers(const ActiveAdapter &active) {
+std::uint32_t CellState::countServing(const ActiveAdapter &active) {
   std::uint32_t n = 0;
   for (ReplicaKey it : active.Holders) {
-    if (serves(it, active))
+    if (canServe(it, active))
       ++n;
   }
   return n;
@@ -50,7 +50,7 @@
 std::size_t CellState::freeSlots() {
   std::size_t n = 0;
   for (const auto &it : Replicas.all()) {
-    if (Chooser.works(it) && it.NoLoadBefore <= Now && it.hasFreeSlot())
+    if (Chooser.canTakeWork(it) && it.NoLoadBefore <= Now && it.hasFreeSlot())
       n += it.Properties.Slots - it.Adapters.size();
   }
   return n;
@@ -71,17 +71,17 @@
 
 void CellState::setUncertain(Replica &replica, Resident &resident) {
   setState(replica, resident, ResidentState::Uncertain);
-  resident.SettledAfter = Now + Settings.Eviction.UncertainFor;
+  resident.SettledAfter = Now + Settings.Eviction.UncertainPeriod;
 }
 
-void CellState::strike(Replica &replica, AdapterKey adapter) {
+void CellState::removeResident(Replica &replica, AdapterKey adapter) {
   auto *resident = Replicas.resident(replica, adapter);
   Eviction.forget(replica, *resident);
   Replicas.remove(replica, adapter);
   replica.OrderAt = Now;
   auto *active = Adapters.find(adapter);
   if (active->Holders.empty())
-    noteLost(adapter);
+    addPrefetchCandidate(adapter);
   refresh(adapter);
   replan(*active);
   if (!active->Pins.empty())
@@ -93,7 +93,7 @@
   auto *active = Adapters.find(adapter);
   if (!active)
     return;
-  bool copies = active->Holders.size() > 1 && servers(*active) > 1;
+  bool copies = active->Holders.size() > 1 && countServing(*active) > 1;
   for (ReplicaKey it : active->Holders) {
     auto &replica = Replicas.obtain(it);
     Eviction.refresh(replica, *Replicas.resident(replica, adapter), copies,
@@ -101,14 +101,14 @@
   }
 }
 
-void CellState::refreshSome() {
+void CellState::refreshNext() {
   auto replicas = Replicas.all();
   if (replicas.empty())
     return;
   std::size_t n = 1 + replicas.size() / RefreshTicks;
   for (; n != 0; --n) {
-    NextRefresh = (NextRefresh + 1) % replicas.size();
-    for (const auto &it : replicas[NextRefresh].Adapters)
+    LastRefreshed = (LastRefreshed + 1) % replicas.size();
+    for (const auto &it : replicas[LastRefreshed].Adapters)
       refresh(it.Adapter);
   }
 }
@@ -116,14 +116,14 @@
 void CellState::replan(ActiveAdapter &active) {
   if (active.Queue.empty() || active.Key == NoAdapter ||
       active.NotBefore > Now || isLoading(active))
-    return Planner.leave(active);
-  std::uint32_t n = servers(active);
+    return Planner.remove(active);
+  std::uint32_t n = countServing(active);
   bool copy = n != 0;
-  if (copy && (active.Queue.size() < Settings.Placement.CopyAfter ||
-               n >= Settings.Placement.MostCopies))
-    return Planner.leave(active);
+  if (copy && (active.Queue.size() < Settings.Placement.CopyQueueLength ||
+               n >= Settings.Placement.MaxCopies))
+    return Planner.remove(active);
   const auto *head = Queues.find(active.Queue.begin()->Request);
-  Planner.enter(active, head->Arrival.Priority, copy);
+  Planner.addOrUpdate(active, head->Arrival.Priority, copy);
 }
 
 void CellState::replanAll(Replica &replica) {
@@ -162,12 +162,12 @@
   return open;
 }
 
-void CellState::noteLost(AdapterKey adapter) {
+void CellState::addPrefetchCandidate(AdapterKey adapter) {
   if (!Settings.Placement.Prefetch)
     return;
-  Lost.insert({Demand.rate(adapter, Now), adapter});
-  if (Lost.size() > MostLost)
-    Lost.erase(Lost.begin());
+  PrefetchCandidates.insert({Demand.rate(adapter, Now), adapter});
+  if (PrefetchCandidates.size() > MaxPrefetchCandidates)
+    PrefetchCandidates.erase(PrefetchCandidates.begin());
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/Consolidation.cpp
+++ b/Hemlockglade/Coordination/Decision/Consolidation.cpp
@@ -7,57 +7,57 @@
 
 Replica *Consolidation::run() {
   const auto &settings = State.Settings.Consolidation;
-  if (settings.FullTarget <= 0 || State.Settings.Objective <= 0)
-    return wakeOne();
+  if (settings.TargetUtilization <= 0 || State.Settings.Objective <= 0)
+    return activateOne();
   auto inFlight = static_cast<double>(State.Queues.size());
   for (const auto &it : State.Replicas.all())
     inFlight += it.Present ? it.inFlight() : 0;
-  auto past = std::chrono::duration<double>(State.Now - SampledAt);
-  auto over = std::chrono::duration<double>(settings.MeanOver);
-  InFlight += (inFlight - InFlight) * (1 - std::exp(-past / over));
+  auto elapsed = std::chrono::duration<double>(State.Now - SampledAt);
+  auto window = std::chrono::duration<double>(settings.AveragingWindow);
+  InFlight += (inFlight - InFlight) * (1 - std::exp(-elapsed / window));
   SampledAt = State.Now;
-  if (isShort() || places(false) < placesNeeded())
-    return wakeOne();
+  if (isShort() || batchCapacity(false) < neededCapacity())
+    return activateOne();
   if (State.Now >= NextChange && State.Mode == LeaseMode::Held)
-    restOne();
+    putOneOnStandby();
   return nullptr;
 }
 
 bool Consolidation::isShort() const {
-  std::size_t loads = State.Planner.size();
+  std::size_t waitingLoads = State.Planner.size();
   return State.Mode != LeaseMode::Held ||
-         loads > State.Settings.Consolidation.MostLoadsWaiting;
+         waitingLoads > State.Settings.Consolidation.MaxLoadsWaiting;
 }
 
-Replica *Consolidation::wakeOne() {
+Replica *Consolidation::activateOne() {
   for (auto &it : State.Replicas.all()) {
-    if (!it.Resting)
+    if (!it.Standby)
       continue;
-    it.Resting = false;
-    NextChange = State.Now + State.Settings.Consolidation.AfterWake;
+    it.Standby = false;
+    NextChange = State.Now + State.Settings.Consolidation.StandbyDelay;
     State.replanAll(it);
     return &it;
   }
   return nullptr;
 }
 
-void Consolidation::restOne() {
+void Consolidation::putOneOnStandby() {
   const auto &settings = State.Settings.Consolidation;
   Replica *best = nullptr;
   for (auto &it : State.Replicas.all()) {
-    if (!it.Present || it.Draining || it.Resting)
+    if (!it.Present || it.Draining || it.Standby)
       continue;
     if (!best || it.inFlight() <= best->inFlight())
       best = &it;
   }
-  NextChange = State.Now + settings.Period;
+  NextChange = State.Now + settings.ChangeInterval;
   if (!best || State.Planner.size() != 0 || isWaitedFor(*best))
     return;
-  double left = places(false) - best->Properties.Batch;
-  // The last one that is awake stays so.
-  if (left <= 0 || left < placesNeeded())
+  double remaining = batchCapacity(false) - best->Properties.Batch;
+  // The last active replica stays active.
+  if (remaining <= 0 || remaining < neededCapacity())
     return;
-  best->Resting = true;
+  best->Standby = true;
   State.replanAll(*best);
 }
 
@@ -70,19 +70,19 @@
   return false;
 }
 
-double Consolidation::places(bool resting) const {
+double Consolidation::batchCapacity(bool standby) const {
   double n = 0;
   for (const auto &it : State.Replicas.all()) {
-    if (it.Present && !it.Draining && (resting || !it.Resting))
+    if (it.Present && !it.Draining && (standby || !it.Standby))
       n += it.Properties.Batch;
   }
   return n;
 }
 
-double Consolidation::placesNeeded() const {
-  double all = places(true);
-  double full = InFlight / State.Settings.Consolidation.FullTarget;
-  return all - State.Settings.Objective * (all - full);
+double Consolidation::neededCapacity() const {
+  double total = batchCapacity(true);
+  double inUse = InFlight / State.Settings.Consolidation.TargetUtilization;
+  return total - State.Settings.Objective * (total - inUse);
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/Consolidation.h
+++ b/Hemlockglade/Coordination/Decision/Consolidation.h
@@ -4,27 +4,30 @@
 
 namespace hemlockglade {
 
-/// Lets replicas rest so that the batches of the others fill, as far as the
-/// cell's objective asks for it and neither loads nor batches fall short.
+/// Puts replicas on standby so that the batches of the others fill, as far as
+/// the cell's objective asks for it and there is no shortage of loads or batch
+/// capacity.
 class Consolidation {
 public:
   explicit Consolidation(CellState &state) : State(state) {}
 
-  /// Looks at the load; to be called at each tick. Returns a replica that was
-  /// woken, to be given work, or null.
+  /// Updates the mean load and changes at most one replica; to be called at
+  /// each tick. Returns a replica that was activated and can be given work, or
+  /// null.
   Replica *run();
 
 private:
-  Replica *wakeOne();
-  void restOne();
+  Replica *activateOne();
+  void putOneOnStandby();
   bool isShort() const;
-  /// Whether requests wait for an adapter on the replica.
+  /// Returns whether requests wait for an adapter on the replica.
   bool isWaitedFor(const Replica &replica) const;
-  /// Places in the batches of the replicas that are awake, or of all.
-  double places(bool resting) const;
-  /// Places that must be awake: the objective gives the part of the spare ones
-  /// that may rest.
-  double placesNeeded() const;
+  /// Returns the batch capacity of the replicas that are not draining, with or
+  /// without those on standby.
+  double batchCapacity(bool standby) const;
+  /// Returns the batch capacity that must be active: the objective is the
+  /// fraction of the spare capacity that may be on standby.
+  double neededCapacity() const;
 
   CellState &State;
   /// Mean number of requests in flight or waiting.
--- a/Hemlockglade/Coordination/Decision/CoreTypes.h
+++ b/Hemlockglade/Coordination/Decision/CoreTypes.h
@@ -9,30 +9,32 @@
 
 namespace hemlockglade {
 
-/// Small numbers that stand for names inside one core.
+/// Compact keys for names, valid inside one core.
 using AdapterKey = std::uint32_t;
 using ReplicaKey = std::uint32_t;
 using DomainKey = std::uint32_t;
 using CallerKey = std::uint32_t;
-/// Number that the driver gives a request; never used twice in one core.
+/// Number that the driver assigns to a request; never reused in one core.
 using RequestKey = std::uint64_t;
 
 /// Stands for "no adapter": a call of a plain service.
 inline constexpr AdapterKey NoAdapter = 0;
 
-/// How far this node may trust its ownership of the cell.
+/// How certain this node's ownership of the cell is.
 enum class LeaseMode : std::uint8_t {
   /// Not the owner: nothing is decided.
   None,
-  /// Owner, but requests of the former owner may run unknown to us.
+  /// Owner, but requests that the former owner admitted may run without this
+  /// node's knowledge.
   Recovering,
-  /// Owner by a lease that holds.
+  /// Owner by a valid lease.
   Held,
-  /// The lease may have lapsed: serve what is loaded, never evict.
+  /// The lease may have expired: loaded adapters are served, nothing is
+  /// evicted.
   Doubtful,
 };
 
-/// Why the core acted; goes into the log line.
+/// Why the core acted; written to the log.
 enum class Reason : std::uint8_t {
   Resident,
   PrefixAffinity,
@@ -59,30 +61,31 @@
 /// The reason's name in logs and metrics.
 std::string_view reasonName(Reason reason);
 
-// Events: what happened.
+// Events: the inputs of the core.
 
 struct RequestArrived {
   RequestKey Request = 0;
   AdapterKey Adapter = NoAdapter;
-  /// Higher goes first.
+  /// Requests of a higher priority are admitted first.
   std::uint8_t Priority = 0;
   /// When the first byte is due.
   Instant Deadline{};
   std::uint64_t PrefixHash = 0;
   std::uint32_t PromptTokens = 0;
   CallerKey Caller = 0;
-  /// A caller's or entry's second try; counts against the retry budget.
+  /// A retry by the caller or the entry; counts against the retry budget.
   bool Retry = false;
   /// Requests of the same class that may wait; 0 for no limit.
   std::uint32_t QueueLimit = 0;
 };
 
-/// The request is over, or its caller has gone; the slot is free.
+/// The request has ended or its caller has disconnected; its place in the batch
+/// is free.
 struct RequestFinished {
   RequestKey Request = 0;
 };
 
-/// A request of the former owner that runs already.
+/// A request that the former owner admitted and that is running.
 struct RequestAdopted {
   RequestKey Request = 0;
   AdapterKey Adapter = NoAdapter;
@@ -93,41 +96,44 @@
 struct LoadDone {
   ReplicaKey Replica = 0;
   AdapterKey Adapter = NoAdapter;
-  /// Number of the order that this answers; 0 if the driver keeps none.
+  /// Number of the order that this answers; 0 if the driver keeps no order
+  /// numbers.
   std::uint64_t Order = 0;
 };
 
-/// A load order came to nothing.
+/// A load order failed.
 struct LoadFailed {
   ReplicaKey Replica = 0;
   AdapterKey Adapter = NoAdapter;
-  /// Number of the order that this answers; 0 if the driver keeps none.
+  /// Number of the order that this answers; 0 if the driver keeps no order
+  /// numbers.
   std::uint64_t Order = 0;
-  /// No answer came: the adapter may be there, now or in a while.
+  /// No answer arrived: the adapter may be resident, now or later.
   bool Unknown = false;
 };
 
 /// An engine answered an evict order. If it refused, the adapter is still
-/// there.
+/// resident.
 struct EvictDone {
   ReplicaKey Replica = 0;
   AdapterKey Adapter = NoAdapter;
   bool Refused = false;
-  /// Number of the order that this answers; 0 if the driver keeps none.
+  /// Number of the order that this answers; 0 if the driver keeps no order
+  /// numbers.
   std::uint64_t Order = 0;
-  /// No answer came: the adapter may be there or not.
+  /// No answer arrived: the adapter may be resident or not.
   bool Unknown = false;
 };
 
-/// A replica that may get work, or whose properties changed.
+/// A replica that may get work was added, or its properties changed.
 struct ReplicaAdded {
   ReplicaKey Replica = 0;
   DomainKey Domain = 0;
   std::uint32_t Slots = 8;
   std::uint32_t Batch = 32;
   bool ChecksFencing = false;
-  /// Measured: requests at once that it serves at full speed; 0 if not
-  /// measured, then the batch stands for it.
+  /// Number of concurrent requests that it serves at full speed, as measured; 0
+  /// if not measured, in which case the batch size is used.
   double Capacity = 0;
 };
 
@@ -141,24 +147,25 @@
   bool Draining = true;
 };
 
-/// An adapter on a replica and the requests it runs, as the engine says.
+/// An adapter on a replica and the number of its running requests, as the
+/// engine reports them.
 struct ResidentAdapter {
   AdapterKey Adapter = NoAdapter;
   std::uint32_t Running = 0;
 };
 
-/// An engine's report of itself.
+/// An engine's report of its state.
 struct ReplicaReport {
   ReplicaKey Replica = 0;
   /// Hash of the engine's incarnation.
   std::uint64_t Incarnation = 0;
-  /// When the report was true.
+  /// Time at which the report describes the engine.
   Instant TakenAt{};
   std::uint32_t Running = 0;
   std::vector<ResidentAdapter> Resident;
 };
 
-/// The replica did not answer a report; it may be down.
+/// The replica did not answer a request for a report; it may be down.
 struct ReplicaSilent {
   ReplicaKey Replica = 0;
 };
@@ -167,8 +174,8 @@
   LeaseMode Mode = LeaseMode::None;
 };
 
-/// How many adapter loads may run at once, and how many a second on average,
-/// for this cell.
+/// Limits the adapter loads of this cell: how many run at once and how many
+/// start per second on average.
 struct LoadLimitChanged {
   std::uint32_t Parallel = 1;
   double LoadsPerSecond = 3.0;
@@ -178,29 +185,29 @@
   AdapterKey Adapter = NoAdapter;
   /// 0 for any failure domain.
   DomainKey Domain = 0;
-  /// 0 takes the pin away.
+  /// 0 removes the pin.
   std::uint32_t Copies = 0;
 };
 
-/// Failure domains where an adapter may run; empty for all.
+/// Failure domains in which an adapter may run; empty for all.
 struct RuleChanged {
   AdapterKey Adapter = NoAdapter;
   std::vector<DomainKey> Domains;
 };
 
-/// An operator wants an adapter on a replica.
+/// An operator requests that an adapter be loaded on a replica.
 struct OperatorLoad {
   ReplicaKey Replica = 0;
   AdapterKey Adapter = NoAdapter;
 };
 
-/// What the cell's decisions favour: 0 for few and short load stalls, 1 for
+/// What the cell's decisions optimise: 0 for few and short load stalls, 1 for
 /// full batches.
 struct ObjectiveChanged {
   double Objective = 0;
 };
 
-/// Time has passed.
+/// Time has advanced.
 struct Tick {};
 
 using Event =
@@ -210,19 +217,19 @@
                  LoadLimitChanged, PinChanged, RuleChanged, OperatorLoad,
                  ObjectiveChanged, Tick>;
 
-// Actions: what to do about it.
+// Actions: the outputs of the core, to be carried out by the driver.
 
 struct Admit {
   RequestKey Request = 0;
   ReplicaKey Replica = 0;
-  /// Time the request waited for its adapter to load.
+  /// Time for which the request waited for its adapter to load.
   Span LoadStall{};
   Reason Why = Reason::Resident;
 };
 
 struct Refuse {
   RequestKey Request = 0;
-  /// When it makes sense to come back.
+  /// Time after which the caller should retry.
   Span RetryAfter{};
   Reason Why = Reason::QueueFull;
 };
@@ -231,7 +238,7 @@
   ReplicaKey Replica = 0;
   AdapterKey Adapter = NoAdapter;
   Reason Why = Reason::Demand;
-  /// Number of this order, to be handed back with its answer.
+  /// Number of this order, to be passed back with its answer.
   std::uint64_t Order = 0;
 };
 
@@ -239,7 +246,7 @@
   ReplicaKey Replica = 0;
   AdapterKey Adapter = NoAdapter;
   Reason Why = Reason::MakeRoom;
-  /// Number of this order, to be handed back with its answer.
+  /// Number of this order, to be passed back with its answer.
   std::uint64_t Order = 0;
 };
 
--- a/Hemlockglade/Coordination/Decision/DemandEstimate.cpp
+++ b/Hemlockglade/Coordination/Decision/DemandEstimate.cpp
@@ -9,14 +9,14 @@
 
 constexpr double Ln2 = 0.6931471805599453;
 constexpr double MicrosecondsPerSecond = 1e6;
-/// A count below this is no memory worth keeping.
-constexpr double Forgotten = 0.1;
-/// Adapters with a lower count teach how sessions are.
-constexpr double LearnBelow = 3;
-/// Length of a window of gaps, in short-term half-lives.
+/// Below this count an adapter's history starts afresh.
+constexpr double MinKeptCount = 0.1;
+/// Only adapters with a lower count are used to learn about sessions.
+constexpr double MaxLearnCount = 3;
+/// Length of a window for gaps, in short-term half-lives.
 constexpr double LearnWindow = 2;
-/// Requests over which is learnt.
-constexpr double LearnOver = 256;
+/// Number of requests over which the fraction is averaged.
+constexpr double LearnRequests = 256;
 
 double seconds(Span span) {
   return static_cast<double>(span.count()) / MicrosecondsPerSecond;
@@ -35,7 +35,7 @@
   double age = seconds(std::max(Span{}, now - entry.At));
   double slow = entry.Slow * std::exp2(-age / SlowS);
   learnShare(entry, slow, age);
-  if (slow < Forgotten)
+  if (slow < MinKeptCount)
     entry.First = now;
   entry.Slow = static_cast<float>(slow + 1);
   entry.Fast = static_cast<float>(entry.Fast * std::exp2(-age / FastS) + 1);
@@ -43,18 +43,18 @@
 }
 
 void DemandEstimate::learnShare(const Entry &entry, double slow, double age) {
-  // The gaps of a hot adapter are short anyway.
-  if (slow > LearnBelow)
+  // A popular adapter has short gaps even without sessions.
+  if (slow > MaxLearnCount)
     return;
-  // Without sessions a gap is hardly likelier to be within the first window
-  // than within the second.
+  // Without sessions, a gap is about as likely to fall into the first window as
+  // into the second.
   double window = LearnWindow * FastS;
   double sample = 0;
   if (entry.Slow > 0 && age < window)
     sample = 1;
   else if (entry.Slow > 0 && age < 2 * window)
     sample = -1;
-  Followed += (sample - Followed) / LearnOver;
+  Followed += (sample - Followed) / LearnRequests;
 }
 
 double DemandEstimate::count(AdapterKey adapter, Instant now) const {
@@ -75,10 +75,11 @@
   double window = SlowS / Ln2 * (1 - std::exp2(-known / SlowS));
   double slow = (entry.Slow * fade + Settings.PriorCount) /
                 (window + seconds(Settings.PriorTime));
-  // Silence that the rate does not explain speaks for an end of the demand.
+  // A gap much longer than the rate explains indicates that the demand has
+  // ended.
   slow /= 1 + Settings.EndOdds * std::exp(std::min(50.0, slow * silence));
   double fast = entry.Fast * std::exp2(-silence / FastS) * Ln2 / FastS;
-  return slow + Settings.ShortShare * std::max(0.0, Followed) * fast;
+  return slow + Settings.MaxShortWeight * std::max(0.0, Followed) * fast;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/EvictionPolicy.cpp
+++ b/Hemlockglade/Coordination/Decision/EvictionPolicy.cpp
@@ -12,9 +12,9 @@
 void EvictionPolicy::refresh(const Replica &replica, Resident &resident,
                              bool copies, Instant now) {
   forget(replica, resident);
-  bool still = resident.State == ResidentState::Loaded ||
-               resident.State == ResidentState::Uncertain;
-  if (!still || resident.Running != 0)
+  bool isPresent = resident.State == ResidentState::Resident ||
+                   resident.State == ResidentState::Uncertain;
+  if (!isPresent || resident.Running != 0)
     return;
   resident.Idle = true;
   resident.Value = valueOf(resident, copies, now);
@@ -28,21 +28,23 @@
   resident.Idle = false;
 }
 
-bool EvictionPolicy::mayGo(const Replica &replica, const Resident &resident,
-                           Instant now, Instant ownerSince) const {
+bool EvictionPolicy::isEvictable(const Replica &replica,
+                                 const Resident &resident, Instant now,
+                                 Instant ownerSince) const {
   if (resident.Running != 0)
     return false;
-  if (resident.State == ResidentState::Loaded &&
+  if (resident.State == ResidentState::Resident &&
       now - resident.LoadedAt < Settings.MinResidency)
     return false;
   if (resident.State == ResidentState::Uncertain && now < resident.SettledAfter)
     return false;
-  // A former owner's requests may run on what we know from a report only.
+  // Requests of a former owner may run on a resident that is known only from a
+  // report.
   if (resident.FromReport && replica.ReportAt < ownerSince)
     return false;
-  // A report older than our own last use says nothing that we don't know.
+  // A report older than this owner's last use adds nothing to its own record.
   bool newer = replica.ReportAt >= resident.LastUsed;
-  return resident.Reported == 0 || !newer;
+  return resident.ReportedRunning == 0 || !newer;
 }
 
 double EvictionPolicy::valueOf(const Resident &resident, bool copies,
@@ -52,7 +54,7 @@
   if (Settings.LeastRecentlyUsed)
     return static_cast<double>(resident.LastUsed.count());
   double value = Demand.rate(resident.Adapter, now);
-  return copies ? value * Settings.CopyWorth : value;
+  return copies ? value * Settings.CopyValueFactor : value;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/EvictionPolicy.h
+++ b/Hemlockglade/Coordination/Decision/EvictionPolicy.h
@@ -7,41 +7,43 @@
 
 namespace hemlockglade {
 
-/// When and what to evict.
+/// Settings of eviction.
 struct EvictionSettings {
-  /// An adapter stays at least this long after it was loaded.
+  /// Minimum time from the load of an adapter to its eviction.
   Span MinResidency = std::chrono::milliseconds(1000);
-  /// An order without a result may still be carried out for this long; only
-  /// then may a report settle it or an eviction follow.
-  Span UncertainFor = std::chrono::seconds(5);
-  /// What one of several copies is worth, as a part of the only one.
-  double CopyWorth = 0.02;
+  /// Time for which an order without a result may still be carried out. Only
+  /// after it may a report settle the state or an eviction follow.
+  Span UncertainPeriod = std::chrono::seconds(5);
+  /// Value of one of several copies, as a fraction of the value of an only
+  /// copy.
+  double CopyValueFactor = 0.02;
   /// Order victims by the time of their last use instead of by demand.
   bool LeastRecentlyUsed = false;
-  /// Idle adapters looked at for one victim.
-  std::uint32_t LookAt = 64;
+  /// Maximum number of idle adapters to check for one victim.
+  std::uint32_t CandidateLimit = 64;
 };
 
 /// Hooks of the eviction policy.
 struct EvictionHooks {
-  /// Stands in for the estimate of demand, if set: the adapter with the
-  /// lowest value goes first. All idle adapters are then looked at.
+  /// Replaces the estimate of demand, if set: the adapter with the lowest value
+  /// is evicted first. All idle adapters are then checked.
   std::function<double(AdapterKey, Instant)> ValueOf;
 };
 
-/// Keeps the adapters that run nothing in the order in which they would be
-/// evicted: by expected demand times the cost of loading again.
+/// Keeps the adapters without running requests in the order of eviction: by
+/// expected demand times the cost of loading again.
 class EvictionPolicy {
 public:
   EvictionPolicy(const EvictionSettings &settings, EvictionHooks hooks,
                  const DemandEstimate &demand,
                  std::pmr::memory_resource *memory);
 
-  /// Brings the adapter's place in the order up to date; to be called after
-  /// each change of it, its demand, or the number of its copies.
+  /// Updates the adapter's position in the order; to be called after each
+  /// change of the adapter, its demand, or the number of its copies.
   void refresh(const Replica &replica, Resident &resident, bool copies,
                Instant now);
-  /// Takes the adapter out of the order, before it is struck out.
+  /// Removes the adapter from the order; to be called before the resident is
+  /// removed.
   void forget(const Replica &replica, Resident &resident);
 
   /// A victim: an adapter on a replica.
@@ -55,33 +57,35 @@
     auto operator<=>(const Victim &) const = default;
   };
 
-  /// The idle adapter of least value that `may` lets go.
-  template <typename MayEvict>
-  std::optional<Victim> victim(Instant now, const MayEvict &may) const {
+  /// Returns the idle adapter of the lowest value for which `canEvict` returns
+  /// true.
+  template <typename Predicate>
+  std::optional<Victim> victim(Instant now, const Predicate &canEvict) const {
     if (Hooks.ValueOf)
-      return victimByHook(now, may);
+      return victimByHook(now, canEvict);
     std::uint32_t n = 0;
     for (const auto &it : Order) {
-      if (++n > Settings.LookAt)
+      if (++n > Settings.CandidateLimit)
         break;
-      if (may(it))
+      if (canEvict(it))
         return it;
     }
     return std::nullopt;
   }
 
-  /// Whether the resident may go as far as time and the engine's report are
-  /// concerned; pins and leases are the caller's to look at.
-  bool mayGo(const Replica &replica, const Resident &resident, Instant now,
-             Instant ownerSince) const;
+  /// Returns whether time and the engine's report allow the eviction of the
+  /// resident; pins and the lease are for the caller to check.
+  bool isEvictable(const Replica &replica, const Resident &resident,
+                   Instant now, Instant ownerSince) const;
 
 private:
-  template <typename MayEvict>
-  std::optional<Victim> victimByHook(Instant now, const MayEvict &may) const {
+  template <typename Predicate>
+  std::optional<Victim> victimByHook(Instant now,
+                                     const Predicate &canEvict) const {
     std::optional<Victim> best;
     for (auto it : Order) {
       it.Value = Hooks.ValueOf(it.Adapter, now);
-      if ((!best || it < *best) && may(it))
+      if ((!best || it < *best) && canEvict(it))
         best = it;
     }
     return best;
--- a/Hemlockglade/Coordination/Decision/LoadLimiter.cpp
+++ b/Hemlockglade/Coordination/Decision/LoadLimiter.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr double MicrosecondsPerSecond = 1e6;
-constexpr std::uint32_t LargestShift = 10;
-// Weight of the newest load in the mean: one in this many.
-constexpr int MeanOver = 8;
+constexpr std::uint32_t MaxShift = 10;
+// Window of the running mean of the load time, in loads.
+constexpr int AveragingWindow = 8;
 
 } // namespace
 
 LoadLimiter::LoadLimiter(const LoadLimiterSettings &settings)
     : Settings(settings), Tokens(settings.Burst),
-      Expected(settings.FirstEstimate) {}
+      Expected(settings.InitialEstimate) {}
 
 void LoadLimiter::setShare(std::uint32_t parallel, double loadsPerSecond) {
   Parallel = parallel;
@@ -33,19 +33,19 @@
   Tokens -= 1;
 }
 
-void LoadLimiter::onSucceeded(Span took, Instant now) {
+void LoadLimiter::onSucceeded(Span duration, Instant now) {
   Failures = 0;
   PausedUntil = now;
-  Expected += (took - Expected) / MeanOver;
+  Expected += (duration - Expected) / AveragingWindow;
 }
 
 void LoadLimiter::onFailed(Instant now) {
   ++Failures;
   if (!isStoreFailing())
     return;
-  auto shift = std::min(Failures - Settings.StoreFailures, LargestShift);
+  auto shift = std::min(Failures - Settings.StoreFailures, MaxShift);
   PausedUntil =
-      now + std::min(Settings.FirstPause * (1 << shift), Settings.LongestPause);
+      now + std::min(Settings.InitialPause * (1 << shift), Settings.MaxPause);
 }
 
 void LoadLimiter::onEnded() {
@@ -56,8 +56,8 @@
 double LoadLimiter::rate() const {
   if (Parallel == 0 || LoadsPerSecond <= 0)
     return 0;
-  auto took = std::max<double>(1, static_cast<double>(Expected.count()));
-  return std::min(LoadsPerSecond, Parallel * MicrosecondsPerSecond / took);
+  auto duration = std::max<double>(1, static_cast<double>(Expected.count()));
+  return std::min(LoadsPerSecond, Parallel * MicrosecondsPerSecond / duration);
 }
 
 void LoadLimiter::refill(Instant now) {
--- a/Hemlockglade/Coordination/Decision/LoadLimiter.h
+++ b/Hemlockglade/Coordination/Decision/LoadLimiter.h
@@ -4,46 +4,48 @@
 
 namespace hemlockglade {
 
-/// How loads are paced and how failures slow them down.
+/// Settings of the rate of loads and of the backoff after failures.
 struct LoadLimiterSettings {
-  /// Loads that may be saved up while none was needed.
+  /// Number of loads that can accumulate while none is needed.
   double Burst = 2;
-  /// Load time that is assumed before any was measured.
-  Span FirstEstimate = std::chrono::milliseconds(400);
-  /// Failures in a row, over all adapters, that mean the weight store is bad.
+  /// Load time that is assumed before any is measured.
+  Span InitialEstimate = std::chrono::milliseconds(400);
+  /// Consecutive failures, over all adapters, from which the weight store
+  /// counts as failing.
   std::uint32_t StoreFailures = 3;
-  /// Pause before the next try when the weight store is bad; doubles up to
-  /// `LongestPause`.
-  Span FirstPause = std::chrono::milliseconds(250);
-  Span LongestPause = std::chrono::seconds(4);
+  /// Pause before the next load when the weight store is failing; doubles up to
+  /// `MaxPause`.
+  Span InitialPause = std::chrono::milliseconds(250);
+  Span MaxPause = std::chrono::seconds(4);
 };
 
-/// The cell's share of the weight store: who may load now, and how long a load
-/// takes.
+/// Limits the cell's loads to its share of the weight store, and estimates how
+/// long a load takes.
 class LoadLimiter {
 public:
   explicit LoadLimiter(const LoadLimiterSettings &settings);
 
-  /// Sets the share.
+  /// Sets the number of parallel loads and the rate of loads that this cell may
+  /// use.
   void setShare(std::uint32_t parallel, double loadsPerSecond);
-  /// Whether a load may start now.
+  /// Returns whether a load may start now.
   bool canStart(Instant now);
-  /// A load takes a turn.
+  /// Called when a load started; it counts as running until `onEnded`.
   void onStarted();
-  /// A load gives its turn back, however it ended.
+  /// Called when a load ended, whatever its result.
   void onEnded();
-  /// A load ended well after `took`.
-  void onSucceeded(Span took, Instant now);
-  /// A load failed.
+  /// Called when a load succeeded after `duration`.
+  void onSucceeded(Span duration, Instant now);
+  /// Called when a load failed.
   void onFailed(Instant now);
 
   std::uint32_t running() const { return Running; }
   std::uint32_t parallel() const { return Parallel; }
-  /// Mean time of a load.
+  /// Returns the mean duration of a load.
   Span expected() const { return Expected; }
-  /// Loads a second that can be counted on.
+  /// Returns the loads per second that can be expected.
   double rate() const;
-  /// Whether the weight store fails for all adapters alike.
+  /// Returns whether the weight store is failing, for all adapters alike.
   bool isStoreFailing() const { return Failures >= Settings.StoreFailures; }
 
 private:
--- a/Hemlockglade/Coordination/Decision/LoadPlanner.cpp
+++ b/Hemlockglade/Coordination/Decision/LoadPlanner.cpp
@@ -10,13 +10,13 @@
                          std::pmr::memory_resource *memory)
     : Settings(settings), ByDeadline(memory), ByWeight(memory) {}
 
-void LoadPlanner::enter(ActiveAdapter &active, std::uint8_t headPriority,
-                        bool copy) {
+void LoadPlanner::addOrUpdate(ActiveAdapter &active, std::uint8_t headPriority,
+                              bool copy) {
   if (active.Planned && active.PlannedWeight == active.Weight &&
       active.PlannedDeadline == active.HeadDeadline &&
       active.PlannedPriority == headPriority && active.Copy == copy)
     return;
-  leave(active);
+  remove(active);
   active.Planned = true;
   active.Copy = copy;
   active.PlannedWeight = active.Weight;
@@ -30,7 +30,7 @@
     ++Copies;
 }
 
-void LoadPlanner::leave(ActiveAdapter &active) {
+void LoadPlanner::remove(ActiveAdapter &active) {
   if (!active.Planned)
     return;
   active.Planned = false;
@@ -42,7 +42,7 @@
     --Copies;
 }
 
-std::size_t LoadPlanner::ahead(std::uint8_t priority) const {
+std::size_t LoadPlanner::fromClass(std::uint8_t priority) const {
   return std::accumulate(Classes.begin() + priority, Classes.end(),
                          std::size_t{0});
 }
@@ -50,50 +50,51 @@
 std::span<const AdapterKey>
 LoadPlanner::candidates(const AdapterTable &adapters, Instant now) {
   std::size_t n = 0;
-  std::size_t looked = 0;
+  std::size_t visited = 0;
   for (const auto &it : ByDeadline) {
-    if (looked++ == MostCandidates)
+    if (visited++ == MaxCandidates)
       break;
     consider(*adapters.find(it.Adapter), now, n);
   }
-  looked = 0;
+  visited = 0;
   for (const auto &it : ByWeight) {
-    if (looked++ == MostCandidates)
+    if (visited++ == MaxCandidates)
       break;
     consider(*adapters.find(it.Adapter), now, n);
   }
-  std::sort(Claims.begin(), Claims.begin() + n,
-            [](const Claim &left, const Claim &right) {
-              return left.Value != right.Value ? left.Value > right.Value
-                                               : left.Adapter < right.Adapter;
+  std::sort(Scores.begin(), Scores.begin() + n,
+            [](const Score &timeLeft, const Score &right) {
+              return timeLeft.Value != right.Value
+                         ? timeLeft.Value > right.Value
+                         : timeLeft.Adapter < right.Adapter;
             });
-  n = std::min(n, MostCandidates);
+  n = std::min(n, MaxCandidates);
   for (std::size_t it = 0; it < n; ++it)
-    Chosen[it] = Claims[it].Adapter;
+    Chosen[it] = Scores[it].Adapter;
   return {Chosen.data(), n};
 }
 
 void LoadPlanner::consider(const ActiveAdapter &active, Instant now,
                            std::size_t &n) {
   for (std::size_t it = 0; it < n; ++it) {
-    if (Claims[it].Adapter == active.Key)
+    if (Scores[it].Adapter == active.Key)
       return;
   }
-  Claims[n++] = {claimOf(active, now), active.Key};
+  Scores[n++] = {scoreOf(active, now), active.Key};
 }
 
-double LoadPlanner::claimOf(const ActiveAdapter &active, Instant now) const {
+double LoadPlanner::scoreOf(const ActiveAdapter &active, Instant now) const {
   double age = std::max(0.0, inSeconds(now - active.Queue.begin()->Rank));
-  double share = active.Copy ? Settings.CopyShare : 1.0;
+  double share = active.Copy ? Settings.CopyWeight : 1.0;
   if (Settings.FirstComeFirstServed)
     return share * age;
-  double claim =
+  double score =
       static_cast<double>(active.Weight) *
       (1 + std::pow(age / inSeconds(Settings.AgeScale), Settings.AgePower));
-  double left = std::max(0.001, inSeconds(active.HeadDeadline - now));
-  double urgency = std::clamp(inSeconds(Settings.UrgentWithin) / left, 1.0,
-                              Settings.LargestUrgency);
-  return share * claim * urgency;
+  double timeLeft = std::max(0.001, inSeconds(active.HeadDeadline - now));
+  double urgency = std::clamp(inSeconds(Settings.UrgencyWindow) / timeLeft, 1.0,
+                              Settings.MaxUrgency);
+  return share * score * urgency;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/LoadPlanner.h
+++ b/Hemlockglade/Coordination/Decision/LoadPlanner.h
@@ -7,46 +7,47 @@
 
 namespace hemlockglade {
 
-/// How the next adapter to load is chosen.
+/// Settings of the choice of the next adapter to load.
 struct LoadPlannerSettings {
-  /// Waiting this long doubles an adapter's claim; the claim grows with the
-  /// power `AgePower` of the age.
+  /// Age at which an adapter's score doubles; the age's part of the score is
+  /// (age / `AgeScale`) to the power `AgePower`.
   Span AgeScale = std::chrono::seconds(5);
   double AgePower = 2;
-  /// Time left below which a deadline raises the claim.
-  Span UrgentWithin = std::chrono::seconds(3);
-  /// How often the claim is raised at most when the deadline is near.
-  double LargestUrgency = 4;
-  /// Claim of a further copy against that of a first one.
-  double CopyShare = 0.25;
-  /// Choose by arrival only.
+  /// Time to the deadline below which the score rises.
+  Span UrgencyWindow = std::chrono::seconds(3);
+  /// Maximum factor on the score when the deadline is near.
+  double MaxUrgency = 4;
+  /// Factor on the score of a further copy, relative to a first one.
+  double CopyWeight = 0.25;
+  /// Choose by time of arrival only.
   bool FirstComeFirstServed = false;
 };
 
-/// The adapters that need a load, in two orders: by deadline and by the
-/// weight of what waits. The next one is chosen among the first few of both,
-/// so the cost does not grow with their number.
+/// Indexes the adapters that need a load by deadline and by the total class
+/// weight of their waiting requests. The next one is chosen among the first few
+/// of both indexes, so the cost does not grow with their number.
 class LoadPlanner {
 public:
   LoadPlanner(const LoadPlannerSettings &settings,
               std::pmr::memory_resource *memory);
 
-  /// Enters the adapter or brings its place up to date.
-  void enter(ActiveAdapter &active, std::uint8_t headPriority, bool copy);
-  void leave(ActiveAdapter &active);
+  /// Adds the adapter or updates its position.
+  void addOrUpdate(ActiveAdapter &active, std::uint8_t headPriority, bool copy);
+  void remove(ActiveAdapter &active);
 
-  /// Adapters that need a load.
+  /// Returns the number of adapters that need a load.
   std::size_t size() const { return ByWeight.size(); }
-  /// Those that are loaded nowhere.
-  std::size_t firsts() const { return ByWeight.size() - Copies; }
-  /// Adapters whose first waiting request has this class or a higher one.
-  std::size_t ahead(std::uint8_t priority) const;
-  /// Adapters whose first waiting request has this class.
+  /// Returns the number of those that no replica can serve yet.
+  std::size_t firstCopies() const { return ByWeight.size() - Copies; }
+  /// Returns the number of adapters whose first waiting request has this class
+  /// or a higher one.
+  std::size_t fromClass(std::uint8_t priority) const;
+  /// Returns the number of adapters whose first waiting request has this class.
   std::size_t ofClass(std::uint8_t priority) const { return Classes[priority]; }
 
-  static constexpr std::size_t MostCandidates = 16;
-  /// The adapters with the largest claims, best first; valid until the next
-  /// call.
+  static constexpr std::size_t MaxCandidates = 16;
+  /// Returns the adapters with the highest scores, best first; valid until the
+  /// next call.
   std::span<const AdapterKey> candidates(const AdapterTable &adapters,
                                          Instant now);
 
@@ -59,19 +60,19 @@
     auto operator<=>(const DeadlineKey &) const = default;
   };
   struct WeightKey {
-    /// Negated, so that the largest comes first.
+    /// Negated, so that the largest weight is first.
     std::int64_t Weight = 0;
     AdapterKey Adapter = NoAdapter;
     // The linter takes the zero of the comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const WeightKey &) const = default;
   };
-  struct Claim {
+  struct Score {
     double Value = 0;
     AdapterKey Adapter = NoAdapter;
   };
 
-  double claimOf(const ActiveAdapter &active, Instant now) const;
+  double scoreOf(const ActiveAdapter &active, Instant now) const;
   void consider(const ActiveAdapter &active, Instant now, std::size_t &n);
 
   LoadPlannerSettings Settings;
@@ -79,8 +80,8 @@
   std::pmr::set<WeightKey> ByWeight;
   std::array<std::uint32_t, 256> Classes{};
   std::size_t Copies = 0;
-  std::array<Claim, 2 * MostCandidates> Claims{};
-  std::array<AdapterKey, MostCandidates> Chosen{};
+  std::array<Score, 2 * MaxCandidates> Scores{};
+  std::array<AdapterKey, MaxCandidates> Chosen{};
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/OrderPlanner.cpp
+++ b/Hemlockglade/Coordination/Decision/OrderPlanner.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-constexpr Span RetryRoom = std::chrono::milliseconds(10);
-constexpr Span RetryPin = std::chrono::milliseconds(100);
-constexpr Span ForgetFailures = std::chrono::seconds(60);
-constexpr Span ForgetWish = std::chrono::seconds(60);
-constexpr std::size_t MostWishes = 256;
-// A pin's load comes after at most so many for demand.
-constexpr std::uint32_t DemandPerPin = 3;
+constexpr Span EvictionRetryDelay = std::chrono::milliseconds(10);
+constexpr Span PinRetryDelay = std::chrono::milliseconds(100);
+constexpr Span FailureRetention = std::chrono::seconds(60);
+constexpr Span OperatorLoadTimeout = std::chrono::seconds(60);
+constexpr std::size_t MaxOperatorLoads = 256;
+// A load for a pin is delayed by at most this many loads for waiting requests.
+constexpr std::uint32_t MaxDemandLoadsPerPin = 3;
 
 } // namespace
 
 void OrderPlanner::run() {
   endBackoffs();
-  if (!Wishes.empty())
+  if (!OperatorLoads.empty())
     loadForOperators();
   if (!State.PinsToCheck.empty())
     loadForPins();
-  if (demandWaits())
+  if (hasDemand())
     loadForDemand();
-  else if (!State.Lost.empty() && State.Queues.size() == 0)
+  else if (!State.PrefetchCandidates.empty() && State.Queues.size() == 0)
     prefetch();
 }
 
@@ -37,9 +37,9 @@
     if (!active || active->Failures == 0)
       continue;
     State.replan(*active);
-    Instant forget = active->NotBefore + ForgetFailures;
-    if (State.Now < forget) {
-      State.Backoffs.insert({forget, adapter});
+    Instant retainUntil = active->NotBefore + FailureRetention;
+    if (State.Now < retainUntil) {
+      State.Backoffs.insert({retainUntil, adapter});
       continue;
     }
     active->Failures = 0;
@@ -48,49 +48,49 @@
 }
 
 void OrderPlanner::loadForOperators() {
-  auto &wish = Wishes.front();
-  auto *replica = State.Replicas.find(wish.Load.Replica);
-  auto &active = State.Adapters.obtain(wish.Load.Adapter);
+  auto &pending = OperatorLoads.front();
+  auto *replica = State.Replicas.find(pending.Load.Replica);
+  auto &active = State.Adapters.obtain(pending.Load.Adapter);
   auto *resident =
       replica ? State.Replicas.resident(*replica, active.Key) : nullptr;
-  bool there = resident && (resident->State == ResidentState::Loaded ||
-                            resident->State == ResidentState::Loading);
-  bool hopeless = !replica || replica->Draining ||
-                  !active.allows(replica->Properties.Domain) ||
-                  State.Now - wish.Since > ForgetWish;
-  Bounds bounds{0, wish.Load.Replica};
-  if (replica && replica->Resting) {
-    replica->Resting = false;
+  bool isPresent = resident && (resident->State == ResidentState::Resident ||
+                                resident->State == ResidentState::Loading);
+  bool isObsolete = !replica || replica->Draining ||
+                    !active.isAllowedIn(replica->Properties.Domain) ||
+                    State.Now - pending.Since > OperatorLoadTimeout;
+  Constraint constraint{0, pending.Load.Replica};
+  if (replica && replica->Standby) {
+    replica->Standby = false;
     State.replanAll(*replica);
   }
-  if (!there && !hopeless) {
+  if (!isPresent && !isObsolete) {
     if (!State.Limiter.canStart(State.Now))
       return;
-    if (!target(active, bounds)) {
-      if (!roomComes(active, bounds) && State.Now >= NoVictimBefore &&
-          !evictFor(active, bounds))
-        NoVictimBefore = State.Now + RetryRoom;
+    if (!findTarget(active, constraint)) {
+      if (!isSlotExpected(active, constraint) && State.Now >= NextEvictionAt &&
+          !evictFor(active, constraint))
+        NextEvictionAt = State.Now + EvictionRetryDelay;
       return;
     }
     load(*replica, active.Key, Reason::Operator);
   }
   AdapterKey adapter = active.Key;
-  Wishes.pop_front();
+  OperatorLoads.pop_front();
   State.Adapters.release(adapter);
 }
 
 void OrderPlanner::loadForDemand() {
   cancelPrefetch();
   std::size_t free = State.freeSlots();
-  while (demandWaits() && State.Limiter.canStart(State.Now) && free != 0) {
+  while (hasDemand() && State.Limiter.canStart(State.Now) && free != 0) {
     bool loaded = false;
     for (AdapterKey it : State.Planner.candidates(State.Adapters, State.Now)) {
       auto &active = *State.Adapters.find(it);
-      auto *replica = target(active, {});
+      auto *replica = findTarget(active, {});
       if (!replica)
         continue;
       load(*replica, it, Reason::Demand);
-      ++SincePin;
+      ++DemandLoadsSincePin;
       --free;
       loaded = true;
       break;
@@ -102,91 +102,93 @@
 }
 
 void OrderPlanner::makeRoom() {
-  if (State.Mode != LeaseMode::Held || State.Now < NoVictimBefore)
+  if (State.Mode != LeaseMode::Held || State.Now < NextEvictionAt)
     return;
-  std::size_t leaving = 0;
+  std::size_t evicting = 0;
   for (const auto &it : State.Orders)
-    leaving += !it.IsLoad &&
-               State.Now - it.GivenAt < State.Settings.Placement.EvictionDue;
-  std::size_t have = State.freeSlots() + leaving;
+    evicting += !it.IsLoad && State.Now - it.GivenAt <
+                                  State.Settings.Placement.EvictionTimeout;
+  std::size_t available = State.freeSlots() + evicting;
   auto parallel = State.Limiter.parallel();
   auto free = parallel - std::min(parallel, State.Limiter.running());
-  std::size_t want = std::min<std::size_t>(
-      State.Planner.size(), free + State.Settings.Placement.RoomAhead);
-  // With room for all, only bounds of the first one's own can ask for more.
-  if (have >= want + 2)
+  std::size_t wanted = std::min<std::size_t>(
+      State.Planner.size(), free + State.Settings.Placement.ExtraFreeSlots);
+  // If there are slots for all, only the placement constraints of the first
+  // adapter can require one more.
+  if (available >= wanted + 2)
     return;
   auto chosen = State.Planner.candidates(State.Adapters, State.Now);
-  for (std::size_t it = 0; it < std::min(want, chosen.size()); ++it) {
+  for (std::size_t it = 0; it < std::min(wanted, chosen.size()); ++it) {
     auto &active = *State.Adapters.find(chosen[it]);
-    bool bounded = !active.Domains.empty() || !active.Holders.empty();
-    if (it < have && (!bounded || roomComes(active, {})))
+    bool constrained = !active.Domains.empty() || !active.Holders.empty();
+    if (it < available && (!constrained || isSlotExpected(active, {})))
       continue;
     if (!evictFor(active, {}))
-      NoVictimBefore = State.Now + RetryRoom;
+      NextEvictionAt = State.Now + EvictionRetryDelay;
   }
 }
 
 void OrderPlanner::loadForPins() {
-  if (State.Now < NoPinBefore || !State.Limiter.canStart(State.Now))
+  if (State.Now < NextPinLoadAt || !State.Limiter.canStart(State.Now))
     return;
-  if (demandWaits() && SincePin < DemandPerPin)
+  if (hasDemand() && DemandLoadsSincePin < MaxDemandLoadsPerPin)
     return;
   AdapterKey adapter = *State.PinsToCheck.begin();
   auto *active = State.Adapters.find(adapter);
-  const auto *wish = active ? unmetPin(*active) : nullptr;
-  if (!wish) {
+  const auto *pin = active ? findUnmetPin(*active) : nullptr;
+  if (!pin) {
     State.PinsToCheck.erase(adapter);
     return;
   }
-  NoPinBefore = State.Now + RetryPin;
+  NextPinLoadAt = State.Now + PinRetryDelay;
   if (active->NotBefore > State.Now)
     return;
-  Bounds bounds{wish->Domain, 0};
-  if (auto *replica = target(*active, bounds)) {
+  Constraint constraint{pin->Domain, 0};
+  if (auto *replica = findTarget(*active, constraint)) {
     load(*replica, adapter, Reason::Pin);
-    SincePin = 0;
-  } else if (!roomComes(*active, bounds)) {
-    evictFor(*active, bounds);
+    DemandLoadsSincePin = 0;
+  } else if (!isSlotExpected(*active, constraint)) {
+    evictFor(*active, constraint);
   }
 }
 
 void OrderPlanner::prefetch() {
   if (!State.Limiter.canStart(State.Now) || State.freeSlots() == 0)
     return;
-  auto best = std::prev(State.Lost.end());
+  auto best = std::prev(State.PrefetchCandidates.end());
   AdapterKey adapter = best->second;
-  State.Lost.erase(best);
+  State.PrefetchCandidates.erase(best);
   auto &active = State.Adapters.obtain(adapter);
-  bool worth = State.Demand.count(adapter, State.Now) >=
-               State.Settings.Placement.PrefetchFrom;
-  if (worth && active.Holders.empty() && active.NotBefore <= State.Now) {
-    if (auto *replica = target(active, {}))
+  bool isWorthLoading = State.Demand.count(adapter, State.Now) >=
+                        State.Settings.Placement.MinPrefetchCount;
+  if (isWorthLoading && active.Holders.empty() &&
+      active.NotBefore <= State.Now) {
+    if (auto *replica = findTarget(active, {}))
       load(*replica, adapter, Reason::Prefetch);
   }
   State.Adapters.release(adapter);
 }
 
 void OrderPlanner::cancelPrefetch() {
-  if (State.Planner.firsts() == 0 ||
+  if (State.Planner.firstCopies() == 0 ||
       State.Limiter.running() < State.Limiter.parallel())
     return;
-  auto within = std::chrono::duration_cast<Span>(
-      State.Settings.Placement.CancelWithin *
+  auto cancelLimit = std::chrono::duration_cast<Span>(
+      State.Settings.Placement.CancelFraction *
       std::chrono::duration<double, std::micro>(State.Limiter.expected()));
   for (const auto &it : State.Orders) {
     auto *resident =
         State.Replicas.resident(State.Replicas.obtain(it.Replica), it.Adapter);
     if (!it.IsLoad || resident->Why != Reason::Prefetch ||
-        State.Now - it.GivenAt > within)
+        State.Now - it.GivenAt > cancelLimit)
       continue;
     return cancel(OpenOrder(it));
   }
 }
 
 void OrderPlanner::cancelUnwanted() {
-  auto within = std::chrono::duration_cast<Span>(
-      State.Settings.Placement.CancelWithin *
+  auto cancelLimit = std::chrono::duration_cast<Span>(
+      State.Settings.Placement.CancelFraction *
       std::chrono::duration<double, std::micro>(State.Limiter.expected()));
   for (std::size_t it = 0; it < State.Orders.size();) {
     OpenOrder open = State.Orders[it];
@@ -194,7 +196,8 @@
     auto *resident = State.Replicas.resident(
         State.Replicas.obtain(open.Replica), open.Adapter);
     bool unwanted = open.IsLoad && resident->Why == Reason::Demand &&
-                    active->Queue.empty() && State.Now - open.GivenAt <= within;
+                    active->Queue.empty() &&
+                    State.Now - open.GivenAt <= cancelLimit;
     if (unwanted)
       cancel(open);
     else
@@ -207,51 +210,53 @@
   auto *resident = State.Replicas.resident(replica, open.Adapter);
   State.closeOrder(open.Order);
   State.setUncertain(replica, *resident);
-  State.Out->push_back(
+  State.Actions->push_back(
       CancelLoad{open.Replica, open.Adapter, Reason::NobodyWaits});
 }
 
-Replica *OrderPlanner::target(const ActiveAdapter &active, Bounds bounds) {
-  // A slot where the adapter may be already is the first to be tried.
+Replica *OrderPlanner::findTarget(const ActiveAdapter &active,
+                                  Constraint constraint) {
+  // A slot in which the adapter may be resident already is preferred.
   for (ReplicaKey it : active.Holders) {
     auto &replica = State.Replicas.obtain(it);
     auto *resident = State.Replicas.resident(replica, active.Key);
-    // An eviction without a result could still take it away again.
-    bool canCome = resident->OrderedLoad || State.Now >= resident->SettledAfter;
+    // An eviction without a result could still remove the adapter.
+    bool canBePresent =
+        resident->OrderedLoad || State.Now >= resident->SettledAfter;
     if (resident->State == ResidentState::Uncertain && resident->Running == 0 &&
-        canCome && mayTake(replica, active, bounds))
+        canBePresent && canTake(replica, active, constraint))
       return &replica;
   }
   Replica *best = nullptr;
   for (auto &it : State.Replicas.all()) {
     if (!it.hasFreeSlot() || State.Replicas.resident(it, active.Key) ||
-        !mayTake(it, active, bounds))
+        !canTake(it, active, constraint))
       continue;
-    if (!best || betterTarget(it, *best, active))
+    if (!best || isBetterTarget(it, *best, active))
       best = &it;
   }
   return best;
 }
 
-bool OrderPlanner::mayTake(Replica &replica, const ActiveAdapter &active,
-                           Bounds bounds) {
-  if (!State.Chooser.serves(replica, active) ||
+bool OrderPlanner::canTake(Replica &replica, const ActiveAdapter &active,
+                           Constraint constraint) {
+  if (!State.Chooser.canServe(replica, active) ||
       replica.NoLoadBefore > State.Now)
     return false;
-  if (bounds.Replica != 0 && replica.Key != bounds.Replica)
+  if (constraint.Replica != 0 && replica.Key != constraint.Replica)
     return false;
-  if (bounds.Domain != 0 && replica.Properties.Domain != bounds.Domain)
+  if (constraint.Domain != 0 && replica.Properties.Domain != constraint.Domain)
     return false;
   return !active.Copy || replica.hasRoom();
 }
 
-bool OrderPlanner::betterTarget(Replica &left, Replica &right,
-                                const ActiveAdapter &active) const {
-  if (left.Silent != right.Silent)
-    return left.Silent < right.Silent;
+bool OrderPlanner::isBetterTarget(Replica &left, Replica &right,
+                                  const ActiveAdapter &active) const {
+  if (left.MissedReports != right.MissedReports)
+    return left.MissedReports < right.MissedReports;
   if (State.Settings.Placement.SpreadDomains && !active.Holders.empty()) {
-    auto leftCopies = copiesIn(left.Properties.Domain, active);
-    auto rightCopies = copiesIn(right.Properties.Domain, active);
+    auto leftCopies = countCopiesIn(left.Properties.Domain, active);
+    auto rightCopies = countCopiesIn(right.Properties.Domain, active);
     if (leftCopies != rightCopies)
       return leftCopies < rightCopies;
   }
@@ -264,20 +269,21 @@
   return left.Key < right.Key;
 }
 
-std::size_t OrderPlanner::copiesIn(DomainKey domain,
-                                   const ActiveAdapter &active) const {
+std::size_t OrderPlanner::countCopiesIn(DomainKey domain,
+                                        const ActiveAdapter &active) const {
   std::size_t n = 0;
   for (ReplicaKey it : active.Holders)
     n += State.Replicas.obtain(it).Properties.Domain == domain ? 1 : 0;
   return n;
 }
 
-bool OrderPlanner::roomComes(const ActiveAdapter &active, Bounds bounds) {
-  if (target(active, bounds))
+bool OrderPlanner::isSlotExpected(const ActiveAdapter &active,
+                                  Constraint constraint) {
+  if (findTarget(active, constraint))
     return true;
   for (const auto &it : State.Orders) {
     auto &replica = State.Replicas.obtain(it.Replica);
-    if (!it.IsLoad && mayTake(replica, active, bounds) &&
+    if (!it.IsLoad && canTake(replica, active, constraint) &&
         (it.Adapter == active.Key ||
          !State.Replicas.resident(replica, active.Key)))
       return true;
@@ -295,15 +301,16 @@
   resident->Why = why;
   auto order = State.openOrder(replica, *resident, true);
   State.setState(replica, *resident, ResidentState::Loading);
-  State.Out->push_back(Load{replica.Key, adapter, why, order});
+  State.Actions->push_back(Load{replica.Key, adapter, why, order});
 }
 
-bool OrderPlanner::evictFor(const ActiveAdapter &active, Bounds bounds) {
+bool OrderPlanner::evictFor(const ActiveAdapter &active,
+                            Constraint constraint) {
   if (State.Mode != LeaseMode::Held)
     return false;
   auto victim =
       State.Eviction.victim(State.Now, [&](const EvictionPolicy::Victim &it) {
-        return mayEvict(it, active, bounds);
+        return canEvict(it, active, constraint);
       });
   if (!victim)
     return false;
@@ -311,22 +318,24 @@
   auto *resident = State.Replicas.resident(replica, victim->Adapter);
   auto order = State.openOrder(replica, *resident, false);
   State.setState(replica, *resident, ResidentState::Evicting);
-  State.Out->push_back(
+  State.Actions->push_back(
       Evict{victim->Replica, victim->Adapter, Reason::MakeRoom, order});
   return true;
 }
 
-bool OrderPlanner::mayEvict(const EvictionPolicy::Victim &victim,
-                            const ActiveAdapter &active, Bounds bounds) {
+bool OrderPlanner::canEvict(const EvictionPolicy::Victim &victim,
+                            const ActiveAdapter &active,
+                            Constraint constraint) {
   auto &replica = State.Replicas.obtain(victim.Replica);
-  if (victim.Adapter == active.Key || !mayTake(replica, active, bounds) ||
+  if (victim.Adapter == active.Key || !canTake(replica, active, constraint) ||
       State.Replicas.resident(replica, active.Key))
     return false;
   const auto &resident = *State.Replicas.resident(replica, victim.Adapter);
-  if (!State.Eviction.mayGo(replica, resident, State.Now, State.OwnerSince))
+  if (!State.Eviction.isEvictable(replica, resident, State.Now,
+                                  State.OwnerSince))
     return false;
   const auto &other = *State.Adapters.find(victim.Adapter);
-  if (!other.Queue.empty() && resident.State == ResidentState::Loaded)
+  if (!other.Queue.empty() && resident.State == ResidentState::Resident)
     return false;
   return !isPinned(replica, other);
 }
@@ -334,40 +343,40 @@
 bool OrderPlanner::isPinned(const Replica &replica,
                             const ActiveAdapter &active) const {
   for (const auto &pin : active.Pins) {
-    bool here = pin.Domain == 0 || pin.Domain == replica.Properties.Domain;
-    if (here && copiesFor(pin, active, false) <= pin.Copies)
+    bool matches = pin.Domain == 0 || pin.Domain == replica.Properties.Domain;
+    if (matches && countCopies(pin, active, false) <= pin.Copies)
       return true;
   }
   return false;
 }
 
-const PinWish *OrderPlanner::unmetPin(const ActiveAdapter &active) const {
+const PinTarget *OrderPlanner::findUnmetPin(const ActiveAdapter &active) const {
   for (const auto &pin : active.Pins) {
-    if (copiesFor(pin, active, true) < pin.Copies)
+    if (countCopies(pin, active, true) < pin.Copies)
       return &pin;
   }
   return nullptr;
 }
 
-std::uint32_t OrderPlanner::copiesFor(const PinWish &pin,
-                                      const ActiveAdapter &active,
-                                      bool loading) const {
+std::uint32_t OrderPlanner::countCopies(const PinTarget &pin,
+                                        const ActiveAdapter &active,
+                                        bool loading) const {
   std::uint32_t n = 0;
   for (ReplicaKey it : active.Holders) {
     auto &replica = State.Replicas.obtain(it);
     auto state = State.Replicas.resident(replica, active.Key)->State;
-    bool counts = state == ResidentState::Loaded ||
+    bool counts = state == ResidentState::Resident ||
                   (loading && state == ResidentState::Loading);
-    bool here = pin.Domain == 0 || pin.Domain == replica.Properties.Domain;
-    if (counts && here && State.Chooser.serves(replica, active))
+    bool matches = pin.Domain == 0 || pin.Domain == replica.Properties.Domain;
+    if (counts && matches && State.Chooser.canServe(replica, active))
       ++n;
   }
   return n;
 }
 
-void OrderPlanner::pinChanged(const PinChanged &event) {
+void OrderPlanner::onPinChanged(const PinChanged &event) {
   auto &active = State.Adapters.obtain(event.Adapter);
-  std::erase_if(active.Pins, [&event](const PinWish &pin) {
+  std::erase_if(active.Pins, [&event](const PinTarget &pin) {
     return pin.Domain == event.Domain;
   });
   if (event.Copies != 0)
@@ -376,7 +385,7 @@
   State.Adapters.release(event.Adapter);
 }
 
-void OrderPlanner::ruleChanged(const RuleChanged &event) {
+void OrderPlanner::onRuleChanged(const RuleChanged &event) {
   auto &active = State.Adapters.obtain(event.Adapter);
   active.Domains = event.Domains;
   std::sort(active.Domains.begin(), active.Domains.end());
@@ -386,9 +395,9 @@
   State.Adapters.release(event.Adapter);
 }
 
-void OrderPlanner::operatorLoad(const OperatorLoad &event) {
-  if (Wishes.size() < MostWishes)
-    Wishes.push_back({event, State.Now});
+void OrderPlanner::onOperatorLoad(const OperatorLoad &event) {
+  if (OperatorLoads.size() < MaxOperatorLoads)
+    OperatorLoads.push_back({event, State.Now});
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/OrderPlanner.h
+++ b/Hemlockglade/Coordination/Decision/OrderPlanner.h
@@ -6,30 +6,30 @@
 
 namespace hemlockglade {
 
-/// Gives the load, evict and cancel orders of one cell: for waiting requests,
-/// for operators, for pins, and ahead of demand.
+/// Issues the load, evict and cancel orders of one cell: for waiting requests,
+/// for operators, for pins, and for prefetch.
 class OrderPlanner {
 public:
   explicit OrderPlanner(CellState &state) : State(state) {}
 
-  /// Gives all orders that are due now.
+  /// Issues all orders that are due.
   void run();
-  /// Takes back loads that nobody waits for any more.
+  /// Cancels loads that no request waits for any more.
   void cancelUnwanted();
 
-  void pinChanged(const PinChanged &event);
-  void ruleChanged(const RuleChanged &event);
-  void operatorLoad(const OperatorLoad &event);
+  void onPinChanged(const PinChanged &event);
+  void onRuleChanged(const RuleChanged &event);
+  void onOperatorLoad(const OperatorLoad &event);
 
 private:
-  /// Where a load or an eviction may take place.
-  struct Bounds {
+  /// Restricts where a load or an eviction may take place.
+  struct Constraint {
     /// 0 for any failure domain.
     DomainKey Domain = 0;
     /// 0 for any replica.
     ReplicaKey Replica = 0;
   };
-  struct OperatorWish {
+  struct PendingOperatorLoad {
     OperatorLoad Load;
     Instant Since{};
   };
@@ -40,36 +40,41 @@
   void loadForPins();
   void prefetch();
   void makeRoom();
-  /// Takes back a prefetch that stands in the way of demand.
+  /// Cancels a prefetch that delays loads for waiting requests.
   void cancelPrefetch();
 
-  /// The best replica for a load that needs no eviction; null if none.
-  Replica *target(const ActiveAdapter &active, Bounds bounds);
-  bool mayTake(Replica &replica, const ActiveAdapter &active, Bounds bounds);
-  bool betterTarget(Replica &left, Replica &right,
-                    const ActiveAdapter &active) const;
-  std::size_t copiesIn(DomainKey domain, const ActiveAdapter &active) const;
-  bool roomComes(const ActiveAdapter &active, Bounds bounds);
+  /// Returns the best replica for a load that needs no eviction; null if there
+  /// is none.
+  Replica *findTarget(const ActiveAdapter &active, Constraint constraint);
+  bool canTake(Replica &replica, const ActiveAdapter &active,
+               Constraint constraint);
+  bool isBetterTarget(Replica &left, Replica &right,
+                      const ActiveAdapter &active) const;
+  std::size_t countCopiesIn(DomainKey domain,
+                            const ActiveAdapter &active) const;
+  bool isSlotExpected(const ActiveAdapter &active, Constraint constraint);
   void load(Replica &replica, AdapterKey adapter, Reason why);
-  bool evictFor(const ActiveAdapter &active, Bounds bounds);
-  bool mayEvict(const EvictionPolicy::Victim &victim,
-                const ActiveAdapter &active, Bounds bounds);
+  bool evictFor(const ActiveAdapter &active, Constraint constraint);
+  bool canEvict(const EvictionPolicy::Victim &victim,
+                const ActiveAdapter &active, Constraint constraint);
   bool isPinned(const Replica &replica, const ActiveAdapter &active) const;
-  /// The pin's wish that is not met yet; null if all are.
-  const PinWish *unmetPin(const ActiveAdapter &active) const;
-  /// Copies that count for the pin; `loading`: with those on their way.
-  std::uint32_t copiesFor(const PinWish &pin, const ActiveAdapter &active,
-                          bool loading) const;
-  bool demandWaits() const { return State.Planner.size() != 0; }
+  /// Returns a pin that lacks copies; null if none does.
+  const PinTarget *findUnmetPin(const ActiveAdapter &active) const;
+  /// Returns the number of copies that count for the pin; with `loading`, those
+  /// that are being loaded count too.
+  std::uint32_t countCopies(const PinTarget &pin, const ActiveAdapter &active,
+                            bool loading) const;
+  bool hasDemand() const { return State.Planner.size() != 0; }
   void cancel(const OpenOrder &open);
 
   CellState &State;
-  std::list<OperatorWish> Wishes;
-  /// Nothing could be evicted; not tried again before.
-  Instant NoVictimBefore{};
-  Instant NoPinBefore{};
-  /// Loads for demand since the last for a pin.
-  std::uint32_t SincePin = 0;
+  std::list<PendingOperatorLoad> OperatorLoads;
+  /// No eviction is attempted before this time, because the last one found no
+  /// victim.
+  Instant NextEvictionAt{};
+  Instant NextPinLoadAt{};
+  /// Loads for waiting requests since the last load for a pin.
+  std::uint32_t DemandLoadsSincePin = 0;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/PrefixIndex.h
+++ b/Hemlockglade/Coordination/Decision/PrefixIndex.h
@@ -6,29 +6,30 @@
 
 namespace hemlockglade {
 
-/// Remembers on which replica a prompt prefix was used last. It is a hint in
-/// a table of fixed size: a newer prefix takes the place of an older one.
+/// Maps prompt prefixes to the replica that used them last. It is a hint in a
+/// table of fixed size: a newer prefix replaces an older one that hashes to the
+/// same entry.
 class PrefixIndex {
 public:
-  /// `places` is rounded up to a power of two.
-  explicit PrefixIndex(std::size_t places);
+  /// `entries` is rounded up to a power of two.
+  explicit PrefixIndex(std::size_t entries);
 
-  /// The prefix of this adapter's prompt is now cached on `replica`, in the
-  /// incarnation `incarnation`.
-  void note(AdapterKey adapter, std::uint64_t prefix, ReplicaKey replica,
-            std::uint64_t incarnation);
+  /// Records that the prefix of this adapter's prompt is now cached on
+  /// `replica`, in the incarnation `incarnation`.
+  void record(AdapterKey adapter, std::uint64_t prefix, ReplicaKey replica,
+              std::uint64_t incarnation);
 
-  /// Where the prefix was used last.
-  struct Place {
+  /// The replica, and its incarnation, that used the prefix last.
+  struct Location {
     ReplicaKey Replica = 0;
     std::uint64_t Incarnation = 0;
   };
-  std::optional<Place> find(AdapterKey adapter, std::uint64_t prefix) const;
+  std::optional<Location> find(AdapterKey adapter, std::uint64_t prefix) const;
 
 private:
   struct Entry {
     std::uint64_t Key = 0;
-    Place Where;
+    Location UsedOn;
   };
 
   std::vector<Entry> Entries;
--- a/Hemlockglade/Coordination/Decision/ReplicaChooser.cpp
+++ b/Hemlockglade/Coordination/Decision/ReplicaChooser.cpp
@@ -6,79 +6,79 @@
 
 namespace {
 
-// Loads per unit of capacity that differ by less are a tie.
-constexpr double SameLoad = 1e-9;
-// From this objective on, requests go to the fuller batch.
-constexpr double FillFrom = 0.5;
+// Loads per unit of capacity that differ by less count as equal.
+constexpr double LoadTolerance = 1e-9;
+// From this objective on, the replica with the higher load is preferred.
+constexpr double FillFromObjective = 0.5;
 
 } // namespace
 
 ReplicaChooser::ReplicaChooser(const RoutingSettings &settings,
-                               double objective, CellReplicas &book)
-    : Settings(settings), Objective(objective), Book(book),
+                               double objective, CellReplicas &replicas)
+    : Settings(settings), Objective(objective), Replicas(replicas),
       Prefixes(settings.Prefixes) {}
 
-bool ReplicaChooser::works(const Replica &replica) const {
-  return replica.Present && !replica.Draining && !replica.Resting &&
-         replica.Silent < Settings.SilentDown;
+bool ReplicaChooser::canTakeWork(const Replica &replica) const {
+  return replica.Present && !replica.Draining && !replica.Standby &&
+         replica.MissedReports < Settings.DownAfterMissed;
 }
 
-bool ReplicaChooser::serves(const Replica &replica,
-                            const ActiveAdapter &active) const {
-  return works(replica) && active.allows(replica.Properties.Domain);
+bool ReplicaChooser::canServe(const Replica &replica,
+                              const ActiveAdapter &active) const {
+  return canTakeWork(replica) && active.isAllowedIn(replica.Properties.Domain);
 }
 
 Replica *ReplicaChooser::choose(const RequestArrived &request,
                                 const ActiveAdapter &active, Reason &why) {
   Replica *best = nullptr;
   auto consider = [&](Replica &replica) {
-    if (!serves(replica, active) || !replica.hasRoom())
+    if (!canServe(replica, active) || !replica.hasRoom())
       return;
-    if (request.Adapter != NoAdapter && !holds(replica, request.Adapter))
+    if (request.Adapter != NoAdapter && !hasLoaded(replica, request.Adapter))
       return;
-    if (!best || better(replica, *best))
+    if (!best || isBetter(replica, *best))
       best = &replica;
   };
   if (request.Adapter == NoAdapter) {
-    for (auto &replica : Book.all())
+    for (auto &replica : Replicas.all())
       consider(replica);
     why = Reason::PlainLeastLoaded;
     return best;
   }
   for (ReplicaKey it : active.Holders)
-    consider(Book.obtain(it));
+    consider(Replicas.obtain(it));
   why = Reason::Resident;
   if (!best || !Settings.PrefixAffinity || request.PrefixHash == 0)
     return best;
-  auto *cached = withPrefix(request, active, *best);
+  auto *cached = findCached(request, active, *best);
   if (!cached)
     return best;
   why = Reason::PrefixAffinity;
   return cached;
 }
 
-void ReplicaChooser::admitted(const RequestArrived &request,
-                              const Replica &replica) {
+void ReplicaChooser::onAdmitted(const RequestArrived &request,
+                                const Replica &replica) {
   if (request.PrefixHash != 0 && request.Adapter != NoAdapter)
-    Prefixes.note(request.Adapter, request.PrefixHash, replica.Key,
-                  replica.Incarnation);
+    Prefixes.record(request.Adapter, request.PrefixHash, replica.Key,
+                    replica.Incarnation);
 }
 
 double ReplicaChooser::loadOf(const Replica &replica) const {
   std::uint32_t n =
-      Settings.CorrectReports ? replica.inFlight() : replica.Running;
+      Settings.CountUntracked ? replica.inFlight() : replica.Running;
   return Settings.PerCapacity ? n / capacityOf(replica) : n;
 }
 
-bool ReplicaChooser::better(const Replica &left, const Replica &right) const {
-  bool leftSuspect = left.Silent >= Settings.SilentSuspect;
-  bool rightSuspect = right.Silent >= Settings.SilentSuspect;
+bool ReplicaChooser::isBetter(const Replica &left, const Replica &right) const {
+  bool leftSuspect = left.MissedReports >= Settings.SuspectAfterMissed;
+  bool rightSuspect = right.MissedReports >= Settings.SuspectAfterMissed;
   if (leftSuspect != rightSuspect)
     return rightSuspect;
   double difference = loadOf(left) - loadOf(right);
-  if (Objective >= FillFrom)
+  if (Objective >= FillFromObjective)
     difference = -difference;
-  if (difference < -SameLoad || difference > SameLoad)
+  if (difference < -LoadTolerance || difference > LoadTolerance)
     return difference < 0;
   double leftCapacity = capacityOf(left);
   double rightCapacity = capacityOf(right);
@@ -89,21 +89,21 @@
 
 double ReplicaChooser::capacityOf(const Replica &replica) const {
   double capacity = replica.capacity();
-  if (Settings.DerateCold && replica.ColdLeft != 0)
-    capacity *= Settings.ColdShare;
+  if (Settings.DerateCold && replica.WarmupLeft != 0)
+    capacity *= Settings.ColdCapacityFactor;
   return capacity;
 }
 
-Replica *ReplicaChooser::withPrefix(const RequestArrived &request,
+Replica *ReplicaChooser::findCached(const RequestArrived &request,
                                     const ActiveAdapter &active,
                                     const Replica &best) {
-  auto place = Prefixes.find(request.Adapter, request.PrefixHash);
-  if (!place)
+  auto location = Prefixes.find(request.Adapter, request.PrefixHash);
+  if (!location)
     return nullptr;
-  auto *cached = Book.find(place->Replica);
-  if (!cached || cached->Incarnation != place->Incarnation ||
-      !serves(*cached, active) || !cached->hasRoom() ||
-      !holds(*cached, request.Adapter))
+  auto *cached = Replicas.find(location->Replica);
+  if (!cached || cached->Incarnation != location->Incarnation ||
+      !canServe(*cached, active) || !cached->hasRoom() ||
+      !hasLoaded(*cached, request.Adapter))
     return nullptr;
   double tokens = std::min(request.PromptTokens, Settings.FullBoundTokens);
   double bound =
@@ -115,9 +115,9 @@
   return cached;
 }
 
-bool ReplicaChooser::holds(Replica &replica, AdapterKey adapter) {
-  auto *resident = Book.resident(replica, adapter);
-  return resident && resident->State == ResidentState::Loaded;
+bool ReplicaChooser::hasLoaded(Replica &replica, AdapterKey adapter) {
+  auto *resident = Replicas.resident(replica, adapter);
+  return resident && resident->State == ResidentState::Resident;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/RequestAdmission.h
+++ b/Hemlockglade/Coordination/Decision/RequestAdmission.h
@@ -9,17 +9,18 @@
 public:
   explicit RequestAdmission(CellState &state);
 
-  void arrived(const RequestArrived &event);
-  void finished(RequestKey request);
-  void adopted(const RequestAdopted &event);
-
-  /// Admits what waits for the adapter, as far as there is room.
-  void serveAdapter(AdapterKey adapter);
-  /// Admits what waits for adapters on the replica, as far as there is room.
-  void serveReplica(Replica &replica);
-  /// Gives up on requests that can't be answered in time any more.
-  void giveUp();
-  /// Refuses everything that waits.
+  void onArrived(const RequestArrived &event);
+  void onFinished(RequestKey request);
+  void onAdopted(const RequestAdopted &event);
+
+  /// Admits requests that wait for the adapter, as far as there is room.
+  void admitForAdapter(AdapterKey adapter);
+  /// Admits requests that wait for any adapter on the replica, as far as there
+  /// is room.
+  void admitForReplica(Replica &replica);
+  /// Refuses waiting requests that can't be answered in time any more.
+  void refuseOverdue();
+  /// Refuses all waiting requests.
   void refuseAll(Reason why);
 
 private:
@@ -29,25 +30,29 @@
                     Reason why);
   void refuse(RequestKey request, Reason why);
   void refuseWaiting(const WaitingRequest &waiting, Reason why);
-  /// Whether the arrival was told before.
-  bool isRepeat(RequestKey request);
-  /// Whether a request that must wait may do so.
-  bool mayWait(const RequestArrived &request, const ActiveAdapter &active,
+  /// Returns whether the arrival was handled before; records it if not.
+  bool isDuplicate(RequestKey request);
+  /// Returns whether a request that can't be admitted now may wait; else sets
+  /// the reason.
+  bool canWait(const RequestArrived &request, const ActiveAdapter &active,
                Reason &why);
-  /// Whether requests of a higher class wait for a load.
-  bool isBehind(const RequestArrived &request) const;
-  /// Whether a replica may serve the adapter; one that rests is woken for it.
-  bool anyServes(const ActiveAdapter &active);
+  /// Returns whether requests of a higher class wait for a load.
+  bool isBehindHigherClass(const RequestArrived &request) const;
+  /// Returns whether a replica can serve the adapter; activates one on standby
+  /// if it is needed for that.
+  bool ensureReplica(const ActiveAdapter &active);
   void enqueue(const RequestArrived &request, ActiveAdapter &active);
-  /// Makes room in a full queue by shedding a lower class.
-  bool shedFor(const RequestArrived &request);
-  /// The queue whose first request is next on the replica; null if none.
-  ActiveAdapter *nextOn(Replica &replica);
+  /// Makes room in a full queue by shedding a request of a lower class; returns
+  /// whether there was one.
+  bool shedLowerClass(const RequestArrived &request);
+  /// Returns the adapter whose first waiting request is next on the replica;
+  /// null if there is none.
+  ActiveAdapter *nextQueueOn(Replica &replica);
 
-  /// Time until the request could be admitted, as far as can be told.
+  /// Returns the estimated time until the request can be admitted.
   Span expectedWait(const RequestArrived &request, const ActiveAdapter &active);
   Span waitForRoom(const RequestArrived &request, const ActiveAdapter &active);
-  /// When the request must be admitted to meet its deadline.
+  /// Returns the latest admission at which the request meets its deadline.
   Instant latestStart(const RequestArrived &request) const;
   Span loadWait(std::size_t loads) const;
   Span batchWait(std::size_t requests) const;
@@ -55,9 +60,9 @@
 
   CellState &State;
   RetryBudget Budget;
-  /// Numbers of the last requests, by their low bits, so that an arrival that
-  /// is told twice is answered once.
-  std::vector<RequestKey> Seen;
+  /// Keys of recent requests, indexed by their low bits, so that an arrival
+  /// that is delivered twice is answered once.
+  std::vector<RequestKey> RecentRequests;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Decision/ResidencyTracker.cpp
+++ b/Hemlockglade/Coordination/Decision/ResidencyTracker.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr std::uint32_t LargestShift = 8;
-/// Failed loads in a row after which a replica is given a rest.
+constexpr std::uint32_t MaxShift = 8;
+/// Consecutive failed loads from which a replica is put in backoff.
 constexpr std::uint32_t ReplicaFailures = 3;
 
-const ResidentAdapter *reportedIn(const ReplicaReport &event,
-                                  AdapterKey adapter) {
+const ResidentAdapter *findReported(const ReplicaReport &event,
+                                    AdapterKey adapter) {
   for (const auto &it : event.Resident) {
     if (it.Adapter == adapter)
       return &it;
@@ -22,15 +22,15 @@
 
 } // namespace
 
-Resident *ResidencyTracker::answered(Replica *replica, AdapterKey adapter,
-                                     std::uint64_t order, bool isLoad) {
+Resident *ResidencyTracker::findAnswered(Replica *replica, AdapterKey adapter,
+                                         std::uint64_t order, bool isLoad) {
   auto *resident =
       replica ? State.Replicas.resident(*replica, adapter) : nullptr;
   if (!resident || resident->OrderedLoad != isLoad)
     return nullptr;
   bool open = resident->State ==
               (isLoad ? ResidentState::Loading : ResidentState::Evicting);
-  // Without a number, an answer counts only for an order that is out.
+  // Without a number, an answer counts only for an open order.
   if (order == 0 ? !open : resident->Order != order)
     return nullptr;
   if (!open && resident->State != ResidentState::Uncertain)
@@ -39,13 +39,13 @@
 }
 
 std::optional<OpenOrder> ResidencyTracker::closeAnswered(Resident &resident) {
-  // The same answer may come again; it then counts no more.
+  // The same answer may arrive again; it is then ignored.
   return State.closeOrder(std::exchange(resident.Order, 0));
 }
 
-bool ResidencyTracker::loadDone(const LoadDone &event) {
+bool ResidencyTracker::onLoadDone(const LoadDone &event) {
   auto *replica = State.Replicas.find(event.Replica);
-  auto *resident = answered(replica, event.Adapter, event.Order, true);
+  auto *resident = findAnswered(replica, event.Adapter, event.Order, true);
   if (!resident)
     return false;
   auto open = closeAnswered(*resident);
@@ -58,18 +58,18 @@
     return false;
   }
   resident->LoadedAt = State.Now;
-  State.setState(*replica, *resident, ResidentState::Loaded);
+  State.setState(*replica, *resident, ResidentState::Resident);
   return true;
 }
 
-void ResidencyTracker::loadFailed(const LoadFailed &event) {
+void ResidencyTracker::onLoadFailed(const LoadFailed &event) {
   auto *replica = State.Replicas.find(event.Replica);
-  auto *resident = answered(replica, event.Adapter, event.Order, true);
+  auto *resident = findAnswered(replica, event.Adapter, event.Order, true);
   if (!resident)
     return;
   bool wasOpen = closeAnswered(*resident).has_value();
   auto &active = State.Adapters.obtain(event.Adapter);
-  // A load that we took back ourselves tells nothing about the store.
+  // A load that this core cancelled says nothing about the weight store.
   if (wasOpen) {
     State.Limiter.onFailed(State.Now);
     backOff(*replica, active);
@@ -77,12 +77,12 @@
   if (event.Unknown || resident->Overlaps)
     State.setUncertain(*replica, *resident);
   else
-    lose(*replica, event.Adapter);
+    removeOrMarkUncertain(*replica, event.Adapter);
 }
 
-bool ResidencyTracker::evictDone(const EvictDone &event) {
+bool ResidencyTracker::onEvictDone(const EvictDone &event) {
   auto *replica = State.Replicas.find(event.Replica);
-  auto *resident = answered(replica, event.Adapter, event.Order, false);
+  auto *resident = findAnswered(replica, event.Adapter, event.Order, false);
   if (!resident)
     return false;
   closeAnswered(*resident);
@@ -91,27 +91,27 @@
     return false;
   }
   if (!event.Refused) {
-    lose(*replica, event.Adapter);
+    removeOrMarkUncertain(*replica, event.Adapter);
     return false;
   }
   if (resident->Restarted || resident->WasUncertain) {
     State.setState(*replica, *resident, ResidentState::Uncertain);
     return false;
   }
-  // The engine has its reasons: the least residency starts again.
+  // The engine refused the eviction: the minimum residency starts again.
   resident->LoadedAt = State.Now;
-  State.setState(*replica, *resident, ResidentState::Loaded);
+  State.setState(*replica, *resident, ResidentState::Resident);
   return true;
 }
 
 void ResidencyTracker::backOff(Replica &replica, ActiveAdapter &active) {
   const auto &settings = State.Settings.Placement;
-  // When all loads fail alike it is not the adapter's fault.
+  // When all loads fail alike, the adapter is not the cause.
   if (!State.Limiter.isStoreFailing() || active.Failures == 0)
     ++active.Failures;
-  auto shift = std::min(active.Failures - 1, LargestShift);
+  auto shift = std::min(active.Failures - 1, MaxShift);
   auto wait =
-      std::min(settings.FirstBackoff * (1 << shift), settings.LongestBackoff);
+      std::min(settings.InitialBackoff * (1 << shift), settings.MaxBackoff);
   active.NotBefore = State.Now + wait;
   State.Backoffs.insert({active.NotBefore, active.Key});
   ++replica.LoadFailures;
@@ -120,28 +120,29 @@
     replica.NoLoadBefore = State.Now + wait;
 }
 
-void ResidencyTracker::lose(Replica &replica, AdapterKey adapter) {
+void ResidencyTracker::removeOrMarkUncertain(Replica &replica,
+                                             AdapterKey adapter) {
   auto *resident = State.Replicas.resident(replica, adapter);
   if (resident->State == ResidentState::Loading ||
       resident->State == ResidentState::Evicting)
     State.closeOrder(resident->Order);
   if (resident->Running == 0)
-    State.strike(replica, adapter);
+    State.removeResident(replica, adapter);
   else
     State.setState(replica, *resident, ResidentState::Uncertain);
 }
 
-void ResidencyTracker::replicaAdded(const ReplicaAdded &event) {
+void ResidencyTracker::onReplicaAdded(const ReplicaAdded &event) {
   auto &replica = State.Replicas.obtain(event.Replica);
   replica.Properties = event;
   if (replica.Present)
     return;
   replica.Present = true;
   replica.Draining = false;
-  replica.Silent = 0;
+  replica.MissedReports = 0;
 }
 
-void ResidencyTracker::replicaRemoved(ReplicaKey key) {
+void ResidencyTracker::onReplicaRemoved(ReplicaKey key) {
   auto *replica = State.Replicas.find(key);
   if (!replica)
     return;
@@ -150,14 +151,14 @@
     if (last.State == ResidentState::Loading ||
         last.State == ResidentState::Evicting)
       State.closeOrder(last.Order);
-    State.strike(*replica, last.Adapter);
+    State.removeResident(*replica, last.Adapter);
   }
   replica->Present = false;
-  replica->Resting = false;
-  replica->Foreign = 0;
+  replica->Standby = false;
+  replica->UntrackedRunning = 0;
 }
 
-void ResidencyTracker::draining(const ReplicaDraining &event) {
+void ResidencyTracker::onDraining(const ReplicaDraining &event) {
   auto *replica = State.Replicas.find(event.Replica);
   if (!replica)
     return;
@@ -165,47 +166,50 @@
   State.replanAll(*replica);
 }
 
-void ResidencyTracker::silent(ReplicaKey key) {
+void ResidencyTracker::onReportMissed(ReplicaKey key) {
   auto *replica = State.Replicas.find(key);
   if (!replica)
     return;
-  ++replica->Silent;
-  if (replica->Silent == State.Settings.Routing.SilentDown)
+  ++replica->MissedReports;
+  if (replica->MissedReports == State.Settings.Routing.DownAfterMissed)
     State.replanAll(*replica);
 }
 
-bool ResidencyTracker::report(const ReplicaReport &event) {
+bool ResidencyTracker::onReport(const ReplicaReport &event) {
   auto *replica = State.Replicas.find(event.Replica);
-  if (!replica || (replica->Reported && event.TakenAt < replica->ReportAt))
+  if (!replica || (replica->HasReport && event.TakenAt < replica->ReportAt))
     return false;
-  bool wasDown = replica->Silent >= State.Settings.Routing.SilentDown;
-  replica->Silent = 0;
+  bool wasDown =
+      replica->MissedReports >= State.Settings.Routing.DownAfterMissed;
+  replica->MissedReports = 0;
   replica->ReportAt = event.TakenAt;
-  // What happened before the first report may have been another incarnation.
-  bool first = !replica->Reported;
+  // Orders from before the first report may have been carried out by another
+  // incarnation.
+  bool first = !replica->HasReport;
   bool restart = !first && replica->Incarnation != event.Incarnation;
-  replica->Reported = true;
+  replica->HasReport = true;
   replica->Incarnation = event.Incarnation;
   if (restart) {
-    replica->ColdLeft = State.Settings.Routing.ColdRequests;
-    replica->Foreign = 0;
+    replica->WarmupLeft = State.Settings.Routing.WarmupRequests;
+    replica->UntrackedRunning = 0;
   }
   if (restart || first)
-    newIncarnation(*replica, event);
+    onNewIncarnation(*replica, event);
   reconcile(*replica, event);
   if (auto ours = replica->runningAt(event.TakenAt))
-    replica->Foreign = event.Running > *ours ? event.Running - *ours : 0;
+    replica->UntrackedRunning =
+        event.Running > *ours ? event.Running - *ours : 0;
   if (wasDown)
     State.replanAll(*replica);
   return true;
 }
 
-void ResidencyTracker::newIncarnation(Replica &replica,
-                                      const ReplicaReport &event) {
-  Gone.clear();
+void ResidencyTracker::onNewIncarnation(Replica &replica,
+                                        const ReplicaReport &event) {
+  ToRemove.clear();
   for (auto &it : replica.Adapters) {
-    // A load ordered since then went to the new incarnation; what is
-    // uncertain stays so until it is settled.
+    // A load ordered after the report was taken went to the new incarnation; an
+    // uncertain resident stays uncertain until it is settled.
     if (it.LoadOrderedAt > event.TakenAt ||
         it.State == ResidentState::Uncertain)
       continue;
@@ -214,49 +218,50 @@
       it.Restarted = true;
     else if (it.ChangedAt >= event.TakenAt)
       State.setState(replica, it, ResidentState::Uncertain);
-    else if (!reportedIn(event, it.Adapter))
-      Gone.push_back(it.Adapter);
+    else if (!findReported(event, it.Adapter))
+      ToRemove.push_back(it.Adapter);
   }
-  for (AdapterKey it : Gone)
-    lose(replica, it);
+  for (AdapterKey it : ToRemove)
+    removeOrMarkUncertain(replica, it);
 }
 
 void ResidencyTracker::reconcile(Replica &replica, const ReplicaReport &event) {
-  Gone.clear();
+  ToRemove.clear();
   for (std::size_t it = 0; it < replica.Adapters.size(); ++it) {
     auto &resident = replica.Adapters[it];
-    const auto *reported = reportedIn(event, resident.Adapter);
-    resident.Reported = reported ? reported->Running : 0;
-    if (answersOrder(resident, event, reported)) {
-      takeAnswer(replica, resident);
+    const auto *reported = findReported(event, resident.Adapter);
+    resident.ReportedRunning = reported ? reported->Running : 0;
+    if (isOrderConfirmed(resident, event, reported)) {
+      applyAnswer(replica, resident);
       continue;
     }
-    bool settled = resident.State == ResidentState::Loaded ||
+    bool settled = resident.State == ResidentState::Resident ||
                    resident.State == ResidentState::Uncertain;
     if (!settled || event.TakenAt <= resident.ChangedAt)
       continue;
-    if (resident.State == ResidentState::Loaded && !reported)
-      Gone.push_back(resident.Adapter);
+    if (resident.State == ResidentState::Resident && !reported)
+      ToRemove.push_back(resident.Adapter);
     if (resident.State != ResidentState::Uncertain ||
         event.TakenAt <= resident.SettledAfter)
       continue;
     if (reported) {
       resident.LoadedAt = State.Now;
-      State.setState(replica, resident, ResidentState::Loaded);
+      State.setState(replica, resident, ResidentState::Resident);
     } else if (resident.Running == 0) {
-      Gone.push_back(resident.Adapter);
+      ToRemove.push_back(resident.Adapter);
     }
   }
-  for (AdapterKey it : Gone)
-    lose(replica, it);
+  for (AdapterKey it : ToRemove)
+    removeOrMarkUncertain(replica, it);
   if (event.TakenAt > replica.OrderAt || replica.OrderAt == Instant{})
     addReported(replica, event);
 }
 
-bool ResidencyTracker::answersOrder(const Resident &resident,
-                                    const ReplicaReport &event, bool reported) {
-  // A report from after an order can stand for its lost answer. With two
-  // orders under way it can't be told which of them it shows.
+bool ResidencyTracker::isOrderConfirmed(const Resident &resident,
+                                        const ReplicaReport &event,
+                                        bool reported) {
+  // A report from after an order can replace its lost answer. With two open
+  // orders, it does not show which of them was carried out.
   if (resident.Overlaps || resident.Restarted ||
       event.TakenAt <= resident.ChangedAt)
     return false;
@@ -264,16 +269,16 @@
          (resident.State == ResidentState::Evicting && !reported);
 }
 
-void ResidencyTracker::takeAnswer(Replica &replica, Resident &resident) {
+void ResidencyTracker::applyAnswer(Replica &replica, Resident &resident) {
   bool isLoad = resident.State == ResidentState::Loading;
   auto open = closeAnswered(resident);
   if (!isLoad)
-    return Gone.push_back(resident.Adapter);
+    return ToRemove.push_back(resident.Adapter);
   if (open)
     State.Limiter.onSucceeded(State.Now - open->GivenAt, State.Now);
   State.Adapters.find(resident.Adapter)->Failures = 0;
   resident.LoadedAt = State.Now;
-  State.setState(replica, resident, ResidentState::Loaded);
+  State.setState(replica, resident, ResidentState::Resident);
 }
 
 void ResidencyTracker::addReported(Replica &replica,
@@ -281,11 +286,11 @@
   for (const auto &it : event.Resident) {
     if (it.Adapter == NoAdapter || State.Replicas.resident(replica, it.Adapter))
       continue;
-    auto &added = State.Replicas.add(replica, it.Adapter, ResidentState::Loaded,
-                                     State.Now);
+    auto &added = State.Replicas.add(replica, it.Adapter,
+                                     ResidentState::Resident, State.Now);
     added.FromReport = true;
-    added.Reported = it.Running;
-    // Nothing was used by us, so this very report counts.
+    added.ReportedRunning = it.Running;
+    // This owner has not used it yet, so this report already counts.
     added.LastUsed = {};
     State.refresh(it.Adapter);
     State.replan(*State.Adapters.find(it.Adapter));
@@ -294,8 +299,9 @@
 
 void ResidencyTracker::expireOrders() {
   const auto &settings = State.Settings.Placement;
-  Span loadTimeout = std::max(settings.OrderTimeout,
-                              State.Limiter.expected() * settings.LoadTimes);
+  Span loadTimeout =
+      std::max(settings.OrderTimeout,
+               State.Limiter.expected() * settings.LoadTimeoutFactor);
   for (std::size_t it = 0; it < State.Orders.size();) {
     OpenOrder open = State.Orders[it];
     Span timeout = open.IsLoad ? loadTimeout : settings.OrderTimeout;
@@ -314,8 +320,8 @@
 
 void ResidencyTracker::markOverdue(OpenOrder &open) {
   const auto &settings = State.Settings.Placement;
-  Span due = std::max(settings.Overdue,
-                      State.Limiter.expected() * settings.OverdueTimes);
+  Span due = std::max(settings.MinOverdue,
+                      State.Limiter.expected() * settings.OverdueFactor);
   auto overdue = [](const OpenOrder &it) { return it.Overdue; };
   bool first = std::none_of(State.Orders.begin(), State.Orders.end(), overdue);
   if (!open.IsLoad || !first || State.Now - open.GivenAt < due)
@@ -328,12 +334,12 @@
   for (auto &replica : State.Replicas.all()) {
     if (!replica.Present)
       continue;
-    Gone.clear();
+    ToRemove.clear();
     for (const auto &it : replica.Adapters)
-      Gone.push_back(it.Adapter);
-    for (AdapterKey it : Gone)
-      lose(replica, it);
-    // Only a report from now on tells what is there.
+      ToRemove.push_back(it.Adapter);
+    for (AdapterKey it : ToRemove)
+      removeOrMarkUncertain(replica, it);
+    // Only a report from now on shows what is resident.
     replica.OrderAt = State.Now;
   }
 }
--- a/Hemlockglade/Coordination/Decision/RetryBudget.h
+++ b/Hemlockglade/Coordination/Decision/RetryBudget.h
@@ -2,30 +2,30 @@
 
 namespace hemlockglade {
 
-/// How many second tries are let in.
+/// Settings of the retry budget.
 struct RetrySettings {
-  /// Second tries let in for each first try.
+  /// Retries allowed per first attempt.
   double Share = 0.2;
-  /// Second tries that may be saved up.
+  /// Maximum number of retries that can accumulate.
   double Burst = 20;
 };
 
-/// Lets second tries in only as a share of the first tries, so that a storm
-/// of retries adds no more than that share to the work.
+/// Allows retries only as a share of the first attempts, so that a burst of
+/// retries adds no more than that share to the work.
 class RetryBudget {
 public:
   explicit RetryBudget(const RetrySettings &settings)
       : Settings(settings), Balance(settings.Burst) {}
 
-  /// A first try came.
-  void earn() {
+  /// Adds the share of one first attempt to the budget.
+  void deposit() {
     Balance += Settings.Share;
     if (Balance > Settings.Burst)
       Balance = Settings.Burst;
   }
 
-  /// Whether a second try may come in; if so, it is paid for.
-  bool spend() {
+  /// Takes one retry from the budget; returns whether there was one left.
+  bool tryWithdraw() {
     if (Balance < 1)
       return false;
     Balance -= 1;
--- a/Hemlockglade/Coordination/Decision/WaitQueues.cpp
+++ b/Hemlockglade/Coordination/Decision/WaitQueues.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// The higher the class, the nearer its start comes to the whole bound; every
-// class stays apart from the next.
+// Priority whose bonus is half of the starvation bound. The bonus approaches
+// the whole bound for higher classes, and each class keeps its distance from
+// the next.
 constexpr std::int64_t HalfBonusPriority = 2;
 
 } // namespace
@@ -26,8 +27,8 @@
   return std::accumulate(Classes.begin() + priority, Classes.end(), 0U);
 }
 
-bool WaitQueues::roomFor(const RequestArrived &arrival,
-                         const ActiveAdapter *active, Reason &why) const {
+bool WaitQueues::hasRoomFor(const RequestArrived &arrival,
+                            const ActiveAdapter *active, Reason &why) const {
   why = Reason::QueueFull;
   if (arrival.QueueLimit != 0 &&
       Classes[arrival.Priority] >= arrival.QueueLimit)
@@ -85,7 +86,7 @@
   return find(Checks.begin()->Request);
 }
 
-void WaitQueues::checkAgain(RequestKey request, Instant at) {
+void WaitQueues::rescheduleCheck(RequestKey request, Instant at) {
   auto it = Requests.find(request);
   assert(it != Requests.end());
   Checks.erase({it->second.CheckAt, request});
@@ -93,7 +94,7 @@
   Checks.insert({at, request});
 }
 
-const WaitingRequest *WaitQueues::lowest() const {
+const WaitingRequest *WaitQueues::nextToShed() const {
   return ShedOrder.empty()
              ? nullptr
              : find(static_cast<RequestKey>(-ShedOrder.begin()->Request));
--- a/UnitTests/Coordination/Decision/AllocationTest.cpp
+++ b/UnitTests/Coordination/Decision/AllocationTest.cpp
@@ -1,4 +1,4 @@
-#include "UnitTests/Coordination/Decision/CoreProbe.h"
+#include "UnitTests/Coordination/Decision/CoreDriver.h"
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -40,8 +40,8 @@
 
 namespace {
 
-/// Rounds of requests over many adapters, with loads, evictions and refusals.
-/// Returns the allocations of the core in each of them.
+/// Runs rounds of requests over many adapters, with loads, evictions and
+/// refusals. Returns the number of the core's allocations in each round.
 std::vector<std::size_t> allocationsByRound(AdapterKey adapters) {
   CellCore core({});
   std::vector<Action> actions;
@@ -66,7 +66,7 @@
       sum += send(Tick{});
       if (key > 20)
         sum += send(RequestFinished{key - 20});
-      // What the core ordered a step ago is done by now.
+      // Orders of the previous step are carried out by now.
       auto open = actions;
       actions.clear();
       for (const auto &action : open) {
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("a warm core does not allocate", "[core]") {
+TEST_CASE("a core in a steady state does not allocate", "[core]") {
   auto rounds = allocationsByRound(500);
   CHECK(rounds.front() > 0);
   CHECK(rounds.back() == 0);
--- a/UnitTests/Coordination/Decision/CoreWorld.h
+++ b/UnitTests/Coordination/Decision/CoreSimulation.h
@@ -11,77 +11,79 @@
 
 namespace hemlockglade::test {
 
-/// Faults put into the world on purpose, to show that the checks notice.
-enum class Mutant {
+/// Faults injected into the simulation to show that its checks detect them.
+enum class InjectedFault {
   None,
-  /// Ends of requests are told while the engine still runs them.
+  /// The end of a request is reported while the engine still runs it.
   EarlyFinish,
-  /// The core is told of one slot, or place in the batch, too many.
+  /// The core is given one slot, or one place in the batch, too many.
   ExtraSlot,
   ExtraBatch,
-  /// Load orders are called done before they are.
+  /// Load orders are answered before they are carried out.
   EarlyLoadDone,
-  /// The core is not told of the pins.
+  /// The core does not receive the pins.
   NoPins,
-  /// The core is not told that the lease became doubtful.
-  NoDoubt,
-  /// The core is not told the time.
+  /// The core is not notified that the lease became doubtful.
+  NoDoubtfulLease,
+  /// The core receives no ticks.
   NoTicks,
-  /// One request comes in under two numbers.
-  Doubled,
+  /// One request arrives under two keys.
+  DuplicateRequest,
 };
 
-/// Engines, callers and a weight store round one core: they carry out its
-/// actions late, doubled, or without an answer, and check each of them against
-/// what is true on the engines.
-class CoreWorld {
+/// Simulates engines, callers and a weight store around one core. They carry
+/// out its actions late, twice, or without an answer, and check each action
+/// against the true state of the engines.
+class CoreSimulation {
 public:
-  struct Shape {
+  struct Options {
     std::uint64_t Seed = 1;
     std::uint32_t Replicas = 3;
     std::uint32_t Slots = 2;
     std::uint32_t Batch = 3;
     std::uint32_t Adapters = 8;
-    /// Percent of answers that fail, are lost, or come twice.
+    /// Percentage of answers that fail, are lost, or arrive twice.
     std::uint32_t Faults = 15;
-    Mutant Fault = Mutant::None;
+    InjectedFault Fault = InjectedFault::None;
   };
 
-  explicit CoreWorld(const Shape &shape, const CellCoreSettings &settings = {})
-      : Form(shape), Core(settings), Random(shape.Seed) {
-    for (ReplicaKey it = 1; it <= shape.Replicas; ++it) {
+  explicit CoreSimulation(const Options &options,
+                          const CellCoreSettings &settings = {})
+      : Config(options), Core(settings), Random(options.Seed) {
+    for (ReplicaKey it = 1; it <= options.Replicas; ++it) {
       Engines[it].Incarnation = it;
-      Engines[it].Known = it;
-      send(ReplicaAdded{it, it % 2 + 1,
-                        shape.Slots + (shape.Fault == Mutant::ExtraSlot),
-                        shape.Batch + (shape.Fault == Mutant::ExtraBatch)});
+      Engines[it].KnownIncarnation = it;
+      send(ReplicaAdded{
+          it, it % 2 + 1,
+          options.Slots + (options.Fault == InjectedFault::ExtraSlot),
+          options.Batch + (options.Fault == InjectedFault::ExtraBatch)});
     }
     send(LeaseChanged{LeaseMode::Held});
     Pins[1] = 1;
-    if (shape.Fault != Mutant::NoPins)
+    if (options.Fault != InjectedFault::NoPins)
       send(PinChanged{1, 0, 1});
   }
 
-  /// Runs `steps` random events, then lets everything come to its end.
+  /// Runs `steps` random events, then lets all work complete.
   void run(std::uint32_t steps) {
     for (std::uint32_t it = 0; it < steps; ++it) {
       step();
-      pass(std::chrono::milliseconds(random(120)));
+      advance(std::chrono::milliseconds(random(120)));
     }
-    Ending = true;
+    Completing = true;
     Mode = LeaseMode::Held;
     send(LeaseChanged{Mode});
     for (std::uint32_t it = 0; it < 100; ++it)
-      pass(std::chrono::milliseconds(1000));
+      advance(std::chrono::milliseconds(1000));
     for (const auto &[request, state] : Requests) {
-      if (state.Answers == 0 && !state.Gone)
-        fail("request without an answer");
+      if (state.Answers == 0 && !state.Abandoned)
+        addViolation("request without an answer");
     }
     if (Core.waiting() != 0 || Core.running() != 0)
-      fail("something is left in the core");
+      addViolation("requests remain in the core");
   }
 
-  const std::set<std::string> &broken() const { return Broken; }
+  const std::set<std::string> &violations() const { return Violations; }
   std::uint64_t hash() const { return Hash; }
   std::uint32_t admitted() const { return Admitted; }
   std::uint32_t evicted() const { return Evicted; }
@@ -89,7 +91,7 @@
 private:
   struct Engine {
     std::uint64_t Incarnation = 0;
-    std::uint64_t Known = 0;
+    std::uint64_t KnownIncarnation = 0;
     std::set<AdapterKey> Loaded;
     std::map<AdapterKey, std::uint32_t> Running;
     std::uint32_t Total = 0;
@@ -98,22 +100,22 @@
     AdapterKey Adapter = NoAdapter;
     ReplicaKey Replica = 0;
     std::uint32_t Answers = 0;
-    bool Gone = false;
-    bool Over = false;
+    bool Abandoned = false;
+    bool Finished = false;
   };
 
   std::uint32_t random(std::uint32_t below) {
     return static_cast<std::uint32_t>(Random() % below);
   }
-  bool faulty() { return !Ending && random(100) < Form.Faults; }
-  void fail(const std::string &what) { Broken.insert(what); }
+  bool isFaulty() { return !Completing && random(100) < Config.Faults; }
+  void addViolation(const std::string &message) { Violations.insert(message); }
   Span ms(std::uint32_t from, std::uint32_t to) {
     return std::chrono::milliseconds(from + random(to - from));
   }
 
-  void pass(Span span) {
+  void advance(Span span) {
     Time.advance(span);
-    if (Form.Fault != Mutant::NoTicks)
+    if (Config.Fault != InjectedFault::NoTicks)
       send(Tick{});
   }
 
@@ -123,12 +125,12 @@
     for (const auto &it : actions)
       std::visit([this](const auto &action) { apply(action); }, it);
   }
-  /// An answer on its way: late, sometimes twice, sometimes never.
+  /// Delivers an answer late, sometimes twice, sometimes never.
   void answer(const Event &event, bool mayBeLost) {
-    if (mayBeLost && faulty())
+    if (mayBeLost && isFaulty())
       return;
     Time.after(ms(1, 40), [this, event] { send(event); });
-    if (faulty())
+    if (isFaulty())
       Time.after(ms(40, 4000), [this, event] { send(event); });
   }
 
@@ -140,64 +142,64 @@
     auto &engine = Engines[action.Replica];
     ++Admitted;
     if (++request.Answers != 1)
-      fail("two answers");
-    bool known = engine.Known == engine.Incarnation;
-    if (request.Adapter != NoAdapter && known &&
+      addViolation("two answers");
+    bool isKnown = engine.KnownIncarnation == engine.Incarnation;
+    if (request.Adapter != NoAdapter && isKnown &&
         !engine.Loaded.contains(request.Adapter))
-      fail("admitted where the adapter is not loaded");
-    if (engine.Total >= Form.Batch)
-      fail("batch exceeded");
-    if (Form.Fault == Mutant::Doubled &&
+      addViolation("admitted where the adapter is not loaded");
+    if (engine.Total >= Config.Batch)
+      addViolation("batch exceeded");
+    if (Config.Fault == InjectedFault::DuplicateRequest &&
         !Served.insert(action.Request / 2).second)
-      fail("two answers");
+      addViolation("two answers");
     request.Replica = action.Replica;
     ++engine.Total;
     ++engine.Running[request.Adapter];
-    Span takes = ms(20, 1500);
-    if (Form.Fault == Mutant::EarlyFinish)
-      Time.after(takes / 4,
+    Span duration = ms(20, 1500);
+    if (Config.Fault == InjectedFault::EarlyFinish)
+      Time.after(duration / 4,
                  [this, key = action.Request] { send(RequestFinished{key}); });
-    Time.after(takes, [this, key = action.Request] { finish(key); });
+    Time.after(duration, [this, key = action.Request] { finish(key); });
   }
 
   void finish(RequestKey key) {
     auto &request = Requests[key];
-    if (request.Over)
+    if (request.Finished)
       return;
-    request.Over = true;
+    request.Finished = true;
     auto &engine = Engines[request.Replica];
     --engine.Total;
     --engine.Running[request.Adapter];
     send(RequestFinished{key});
-    if (faulty())
+    if (isFaulty())
       Time.after(ms(1, 500), [this, key] { send(RequestFinished{key}); });
   }
 
   void apply(const Refuse &action) {
     mix(action.Request * 64 + 2);
     if (++Requests[action.Request].Answers != 1)
-      fail("two answers");
+      addViolation("two answers");
     if (action.RetryAfter <= Span{})
-      fail("refused without a time to come back");
+      addViolation("refused without a Retry-After");
   }
 
   void apply(const Load &action) {
     mix(action.Adapter * 64 + action.Replica * 8 + 3);
     LoadDone done{action.Replica, action.Adapter, action.Order};
-    if (Form.Fault == Mutant::EarlyLoadDone)
+    if (Config.Fault == InjectedFault::EarlyLoadDone)
       Time.after(ms(1, 5), [this, done] { send(done); });
     auto incarnation = Engines[action.Replica].Incarnation;
     Time.after(ms(100, 500), [this, done, incarnation] {
       auto &engine = Engines[done.Replica];
-      bool same = engine.Incarnation == incarnation;
-      if (!same || faulty())
+      bool isSameIncarnation = engine.Incarnation == incarnation;
+      if (!isSameIncarnation || isFaulty())
         return answer(
             LoadFailed{done.Replica, done.Adapter, done.Order, random(2) == 0},
             false);
       engine.Loaded.insert(done.Adapter);
-      if (engine.Loaded.size() > Form.Slots)
-        fail("slots exceeded");
-      if (faulty())
+      if (engine.Loaded.size() > Config.Slots)
+        addViolation("slots exceeded");
+      if (isFaulty())
         return answer(LoadFailed{done.Replica, done.Adapter, done.Order, true},
                       false);
       answer(done, true);
@@ -209,25 +211,27 @@
     ++Evicted;
     auto &engine = Engines[action.Replica];
     if (Mode != LeaseMode::Held)
-      fail("evicted without a certain lease");
+      addViolation("evicted without a certain lease");
     if (engine.Running[action.Adapter] != 0)
-      fail("evicted while serving");
-    std::size_t copies = 0;
-    // What an engine lost in a restart still counts until the core knows.
+      addViolation("evicted while serving");
+    std::size_t possibleCopies = 0;
+    // Adapters that an engine lost in a restart still count until the core has
+    // received its new incarnation.
     for (const auto &[key, it] : Engines)
-      copies +=
-          it.Loaded.contains(action.Adapter) || it.Known != it.Incarnation;
-    if (Pins.contains(action.Adapter) && copies <= Pins[action.Adapter] &&
+      possibleCopies += it.Loaded.contains(action.Adapter) ||
+                        it.KnownIncarnation != it.Incarnation;
+    if (Pins.contains(action.Adapter) &&
+        possibleCopies <= Pins[action.Adapter] &&
         engine.Loaded.contains(action.Adapter))
-      fail("evicted a pinned adapter");
+      addViolation("evicted a pinned adapter");
     EvictDone done{action.Replica, action.Adapter, false, action.Order};
     Time.after(ms(1, 60), [this, done]() mutable {
-      if (faulty()) {
+      if (isFaulty()) {
         done.Refused = true;
         return answer(done, true);
       }
       Engines[done.Replica].Loaded.erase(done.Adapter);
-      done.Unknown = faulty();
+      done.Unknown = isFaulty();
       answer(done, true);
     });
   }
@@ -237,32 +241,32 @@
   }
 
   void step() {
-    auto what = random(100);
-    auto replica = 1 + random(Form.Replicas);
-    if (what < 70)
+    auto choice = random(100);
+    auto replica = 1 + random(Config.Replicas);
+    if (choice < 70)
       return arrive();
-    if (what < 80)
+    if (choice < 80)
       return report(replica);
-    if (what < 83 && Form.Faults != 0)
+    if (choice < 83 && Config.Faults != 0)
       return restart(replica);
-    if (what < 86)
-      return lease();
-    if (what < 88)
+    if (choice < 86)
+      return changeLease();
+    if (choice < 88)
       return send(ReplicaSilent{replica});
-    if (what < 91)
+    if (choice < 91)
       return send(ReplicaDraining{replica, random(3) == 0});
-    if (what < 93)
-      return send(OperatorLoad{replica, 1 + random(Form.Adapters)});
-    if (what < 95)
+    if (choice < 93)
+      return send(OperatorLoad{replica, 1 + random(Config.Adapters)});
+    if (choice < 95)
       return send(LoadLimitChanged{1 + random(2), 1.0 + random(5)});
-    leave();
+    abandonRequest();
   }
 
   void arrive() {
     RequestArrived event;
     event.Request = LastRequest += 2;
-    // Half of the traffic goes to the first few adapters.
-    event.Adapter = random(2) ? 1 + random(Form.Adapters) : 1 + random(2);
+    // Half of the requests are for the first two adapters.
+    event.Adapter = random(2) ? 1 + random(Config.Adapters) : 1 + random(2);
     event.Priority = static_cast<std::uint8_t>(random(3));
     event.Deadline = Time.now() + ms(100, 8000);
     event.PrefixHash = random(4);
@@ -272,24 +276,24 @@
     event.QueueLimit = random(20) == 0 ? 2 : 0;
     Requests[event.Request].Adapter = event.Adapter;
     send(event);
-    if (faulty())
+    if (isFaulty())
       send(event);
-    if (Form.Fault != Mutant::Doubled)
+    if (Config.Fault != InjectedFault::DuplicateRequest)
       return;
     ++event.Request;
     Requests[event.Request].Adapter = event.Adapter;
     send(event);
   }
 
-  /// A caller that goes away; what runs for it ends.
-  void leave() {
+  /// A caller disconnects before its request is answered.
+  void abandonRequest() {
     if (LastRequest == 0)
       return;
     RequestKey key =
         2 * (1 + random(static_cast<std::uint32_t>(LastRequest / 2)));
     auto &request = Requests[key];
     if (request.Answers == 0) {
-      request.Gone = true;
+      request.Abandoned = true;
       send(RequestFinished{key});
     }
   }
@@ -305,33 +309,33 @@
       event.Resident.push_back({it, engine.Running[it]});
     Time.after(ms(0, 800), [this, event] {
       auto &it = Engines[event.Replica];
-      it.Known = std::max(it.Known, event.Incarnation);
+      it.KnownIncarnation = std::max(it.KnownIncarnation, event.Incarnation);
       send(event);
     });
   }
 
-  /// Nothing that the engine had loaded or ran outlives it.
+  /// The restarted engine has no adapters, and its running requests have ended.
   void restart(ReplicaKey key) {
     auto &engine = Engines[key];
     engine.Incarnation += 100;
     engine.Loaded.clear();
     for (auto &[request, state] : Requests) {
-      if (state.Replica == key && state.Answers == 1 && !state.Over)
+      if (state.Replica == key && state.Answers == 1 && !state.Finished)
         finish(request);
     }
     Time.after(ms(1, 300), [this, key] { report(key); });
   }
 
-  void lease() {
+  void changeLease() {
     static constexpr LeaseMode Modes[] = {LeaseMode::Doubtful, LeaseMode::Held,
                                           LeaseMode::Held};
     Mode = Modes[random(3)];
-    if (Form.Fault == Mutant::NoDoubt)
+    if (Config.Fault == InjectedFault::NoDoubtfulLease)
       return;
     send(LeaseChanged{Mode});
   }
 
-  Shape Form;
+  Options Config;
   VirtualTime Time;
   CellCore Core;
   std::mt19937_64 Random;
@@ -344,8 +348,8 @@
   std::uint64_t Hash = 0xCBF29CE484222325ULL;
   std::uint32_t Admitted = 0;
   std::uint32_t Evicted = 0;
-  bool Ending = false;
-  std::set<std::string> Broken;
+  bool Completing = false;
+  std::set<std::string> Violations;
 };
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Decision/ReplicaChooserTest.cpp
+++ b/UnitTests/Coordination/Decision/ReplicaChooserTest.cpp
@@ -1,4 +1,4 @@
-#include "UnitTests/Coordination/Decision/CoreProbe.h"
+#include "UnitTests/Coordination/Decision/CoreDriver.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,114 +8,117 @@
 
 namespace {
 
-/// Adapter 7 on two replicas: 1 with capacity 8, 2 with capacity 2.
-CoreProbe twoHolders(const RoutingSettings &routing) {
+/// Returns a core with these routing settings.
+CoreDriver coreWith(const RoutingSettings &routing) {
   CellCoreSettings settings;
   settings.Routing = routing;
-  return CoreProbe(settings);
+  return CoreDriver(settings);
 }
 
-void setUp(CoreProbe &core) {
+/// Loads adapter 7 on two replicas: 1 with capacity 2, 2 with capacity 8.
+void addTwoReplicas(CoreDriver &core) {
   core.send(ReplicaAdded{1, 1, 2, 16, false, 2});
   core.send(ReplicaAdded{2, 2, 2, 16, false, 8});
-  core.place(7, 1);
-  core.place(7, 2);
+  core.loadByOperator(7, 1);
+  core.loadByOperator(7, 2);
 }
 
-/// Where one more request of the adapter goes.
-std::string next(CoreProbe &core, std::uint64_t prefix = 0,
-                 std::uint32_t tokens = 0) {
+/// Sends one more request of the adapter and returns the replica it is admitted
+/// to.
+std::string admitNext(CoreDriver &core, std::uint64_t prefix = 0,
+                      std::uint32_t tokens = 0) {
   RequestArrived event{500, 7, 1, core.Now + 10s, prefix, tokens};
-  auto done = core.send(event);
-  return done.substr(done.find('@'));
+  auto actions = core.send(event);
+  return actions.substr(actions.find('@'));
 }
 
 } // namespace
 
-TEST_CASE("each idea of the routing decides, and can be turned off",
+TEST_CASE("each routing criterion takes effect and can be disabled",
           "[routing]") {
-  bool on = GENERATE(true, false);
+  bool isEnabled = GENERATE(true, false);
   RoutingSettings routing;
-  SECTION("in flight per capacity") {
-    routing.PerCapacity = on;
-    auto core = twoHolders(routing);
-    setUp(core);
+  SECTION("requests in flight per capacity") {
+    routing.PerCapacity = isEnabled;
+    auto core = coreWith(routing);
+    addTwoReplicas(core);
     std::map<char, int> placed;
     for (RequestKey it = 1; it <= 10; ++it)
       ++placed[core.arrive(it, 7).back()];
-    CHECK(placed['2'] == (on ? 8 : 5));
+    CHECK(placed['2'] == (isEnabled ? 8 : 5));
     return;
   }
   SECTION("prefix affinity within the bound") {
-    routing.PrefixAffinity = on;
-    auto core = twoHolders(routing);
-    setUp(core);
+    routing.PrefixAffinity = isEnabled;
+    auto core = coreWith(routing);
+    addTwoReplicas(core);
     core.send(ReplicaDraining{2});
-    next(core, 77, 2000);
+    admitNext(core, 77, 2000);
     core.finish(500);
     core.send(ReplicaDraining{2, false});
     core.Now += 1s;
     RequestArrived event{501, 7, 1, core.Now + 10s, 77, 2000};
-    CHECK(core.send(event) == (on ? "admit 501@1" : "admit 501@2"));
+    CHECK(core.send(event) == (isEnabled ? "admit 501@1" : "admit 501@2"));
     return;
   }
-  SECTION("ties go to the larger capacity") {
-    routing.TiesToCapacity = on;
-    auto core = twoHolders(routing);
-    setUp(core);
-    CHECK(next(core) == (on ? "@2" : "@1"));
+  SECTION("equal loads go to the larger capacity") {
+    routing.TiesToCapacity = isEnabled;
+    auto core = coreWith(routing);
+    addTwoReplicas(core);
+    CHECK(admitNext(core) == (isEnabled ? "@2" : "@1"));
     return;
   }
-  SECTION("an engine that started cold counts less") {
-    routing.DerateCold = on;
-    auto core = twoHolders(routing);
+  SECTION("an engine that started cold has a reduced capacity") {
+    routing.DerateCold = isEnabled;
+    auto core = coreWith(routing);
     core.send(ReplicaAdded{1, 1, 2, 16, false, 8});
     core.send(ReplicaAdded{2, 2, 2, 16, false, 8});
-    core.place(7, 1);
-    core.place(7, 2);
+    core.loadByOperator(7, 1);
+    core.loadByOperator(7, 2);
     core.report(1, 1, {{7, 0}});
     core.Now += 1s;
     core.report(1, 2, {{7, 0}});
     std::string places;
     for (RequestKey it = 1; it <= 6; ++it)
       places += core.arrive(it, 7).back();
-    CHECK(places == (on ? "212212" : "121212"));
+    CHECK(places == (isEnabled ? "212212" : "121212"));
     return;
   }
-  SECTION("reports show what our books don't") {
-    routing.CorrectReports = on;
-    auto core = twoHolders(routing);
-    setUp(core);
+  SECTION("requests that only reports show are counted") {
+    routing.CountUntracked = isEnabled;
+    auto core = coreWith(routing);
+    addTwoReplicas(core);
     core.report(2, 1, {{7, 3}}, 0s, 3);
-    CHECK(next(core) == (on ? "@1" : "@2"));
+    CHECK(admitNext(core) == (isEnabled ? "@1" : "@2"));
     return;
   }
 }
 
-TEST_CASE("prefix affinity ends at a bound that grows with the prompt",
-          "[routing]") {
-  auto [busy, tokens, place] = GENERATE(table<int, std::uint32_t, std::string>(
-      {{0, 2000, "@1"}, {4, 2000, "@1"}, {5, 2000, "@2"}, {4, 500, "@2"}}));
-  CoreProbe core;
+TEST_CASE(
+    "prefix affinity applies up to a load bound that grows with the prompt",
+    "[routing]") {
+  auto [running, tokens, loadByOperator] =
+      GENERATE(table<int, std::uint32_t, std::string>(
+          {{0, 2000, "@1"}, {4, 2000, "@1"}, {5, 2000, "@2"}, {4, 500, "@2"}}));
+  CoreDriver core;
   core.send(ReplicaAdded{1, 1, 2, 16, false, 16});
   core.send(ReplicaAdded{2, 2, 2, 16, false, 16});
-  core.place(7, 1);
-  core.place(7, 2);
+  core.loadByOperator(7, 1);
+  core.loadByOperator(7, 2);
   core.send(ReplicaDraining{2});
-  next(core, 77, tokens);
+  admitNext(core, 77, tokens);
   core.finish(500);
-  for (int it = 0; it < busy; ++it)
+  for (int it = 0; it < running; ++it)
     core.arrive(static_cast<RequestKey>(it) + 1, 7);
   core.send(ReplicaDraining{2, false});
   RequestArrived event{501, 7, 1, core.Now + 10s, 77, tokens};
-  CHECK(core.send(event) == "admit 501" + place);
+  CHECK(core.send(event) == "admit 501" + loadByOperator);
 }
 
-TEST_CASE("drained, silent and restarted replicas get no new work",
-          "[routing]") {
-  CoreProbe core;
-  setUp(core);
-  std::string done = "@1";
+TEST_CASE("unavailable and restarted replicas get no new work", "[routing]") {
+  CoreDriver core;
+  addTwoReplicas(core);
+  std::string expected = "@1";
   SECTION("drained") { core.send(ReplicaDraining{2}); }
   SECTION("one report missed") { core.send(ReplicaSilent{2}); }
   SECTION("removed") { core.send(ReplicaRemoved{2}); }
@@ -124,84 +127,84 @@
     core.Now += 1s;
     core.report(2, 2, {});
   }
-  SECTION("all silent for one report: it still serves") {
+  SECTION("one report missed on all replicas: they still serve") {
     core.send(ReplicaSilent{1});
     core.send(ReplicaSilent{2});
-    done = "@2";
+    expected = "@2";
   }
-  SECTION("a report from before the last says nothing") {
+  SECTION("a report older than the last one is ignored") {
     core.report(2, 1, {{7, 0}});
     core.report(2, 5, {}, 3s);
-    done = "@2";
+    expected = "@2";
   }
-  CHECK(next(core) == done);
+  CHECK(admitNext(core) == expected);
 }
 
-TEST_CASE("objective 1 lets replicas rest and wakes them for need",
+TEST_CASE("objective 1 puts replicas on standby and activates them when needed",
           "[routing]") {
-  auto [objective, first, rest] =
+  auto [objective, firstAdmission, expectedPlaces] =
       GENERATE(table<double, std::string, std::string>(
           {{0, "admit 1@2", "1212"}, {1, "admit 1@1", "111"}}));
   CellCoreSettings settings;
   settings.Objective = objective;
-  CoreProbe core(settings);
+  CoreDriver core(settings);
   core.send(ReplicaAdded{1, 1, 2, 4});
   core.send(ReplicaAdded{2, 2, 2, 4, false, 6});
-  core.place(7, 1);
-  core.place(7, 2);
-  core.pass(60s);
-  CHECK(core.arrive(1, 7) == first);
+  core.loadByOperator(7, 1);
+  core.loadByOperator(7, 2);
+  core.advance(60s);
+  CHECK(core.arrive(1, 7) == firstAdmission);
   std::string places;
   for (RequestKey it = 2; it <= 8; ++it) {
-    auto done = core.arrive(it, 7);
-    if (done.starts_with("admit"))
-      places += done.back();
+    auto actions = core.arrive(it, 7);
+    if (actions.starts_with("admit"))
+      places += actions.back();
   }
-  CHECK(places.starts_with(rest));
-  // What waits by then wakes the other one.
-  auto later = core.pass(10s);
-  CHECK((objective == 0 || later.find("@2") != std::string::npos));
+  CHECK(places.starts_with(expectedPlaces));
+  // Waiting requests activate the other replica.
+  auto laterActions = core.advance(10s);
+  CHECK((objective == 0 || laterActions.find("@2") != std::string::npos));
 }
 
-TEST_CASE("a replica that rests is woken for what may run nowhere else",
+TEST_CASE("a replica on standby is activated for work that no other may run",
           "[routing]") {
   CellCoreSettings settings;
   settings.Objective = 1;
-  CoreProbe core(settings);
+  CoreDriver core(settings);
   core.replicas(3, 2, 4);
-  core.pass(60s);
+  core.advance(60s);
   core.send(RuleChanged{7, {3}});
   CHECK(core.arrive(1, 7) == "load 7@3");
   CHECK(core.send(ReplicaRemoved{1}).empty());
   CHECK(core.arrive(2, 8).find("refuse") == std::string::npos);
 }
 
-TEST_CASE("a changed objective lets replicas rest and wakes them",
+TEST_CASE("a changed objective puts replicas on standby and activates them",
           "[routing]") {
-  CoreProbe core;
+  CoreDriver core;
   core.send(ReplicaAdded{1, 1, 2, 4});
   core.send(ReplicaAdded{2, 2, 2, 4, false, 6});
-  core.place(7, 1);
-  core.place(7, 2);
+  core.loadByOperator(7, 1);
+  core.loadByOperator(7, 2);
   core.send(ObjectiveChanged{1});
-  core.pass(60s);
+  core.advance(60s);
   CHECK(core.arrive(1, 7) == "admit 1@1");
   core.send(ObjectiveChanged{0});
-  core.pass(1s);
+  core.advance(1s);
   CHECK(core.arrive(2, 7) == "admit 2@2");
 }
 
-TEST_CASE("the objective gives the part of the spare replicas that rests",
+TEST_CASE("the objective is the fraction of spare replicas on standby",
           "[routing]") {
   auto [objective, places] = GENERATE(
       table<double, int>({{0, 20}, {0.25, 16}, {0.5, 12}, {0.75, 8}, {1, 4}}));
   CellCoreSettings settings;
   settings.Objective = objective;
-  CoreProbe core(settings);
+  CoreDriver core(settings);
   core.replicas(5, 2, 4);
   for (ReplicaKey it = 1; it <= 5; ++it)
-    core.place(7, it);
-  core.pass(120s);
+    core.loadByOperator(7, it);
+  core.advance(120s);
   int admitted = 0;
   for (RequestKey it = 1; it <= 20; ++it)
     admitted += core.arrive(it, 7).starts_with("admit");
--- a/UnitTests/Coordination/Decision/RequestAdmissionTest.cpp
+++ b/UnitTests/Coordination/Decision/RequestAdmissionTest.cpp
@@ -1,4 +1,4 @@
-#include "UnitTests/Coordination/Decision/CoreProbe.h"
+#include "UnitTests/Coordination/Decision/CoreDriver.h"
 
 #include <catch2/catch.hpp>
 
@@ -6,31 +6,31 @@
 using namespace hemlockglade::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("requests of one adapter share a load, the higher class first",
+TEST_CASE("requests of one adapter share a load and are admitted by class",
           "[desk]") {
-  CoreProbe core;
+  CoreDriver core;
   core.replicas(1, 1, 2);
   CHECK(core.arrive(1, 7, 0) == "load 7@1");
   CHECK(core.arrive(2, 7, 1).empty());
   CHECK(core.arrive(3, 7, 2).empty());
-  CHECK(core.arrive(3, 7, 2).empty()); // Told twice.
+  CHECK(core.arrive(3, 7, 2).empty()); // Duplicate arrival.
   CHECK(core.Core.waiting() == 3);
   core.Now += 300ms;
   CHECK(core.loaded(7) == "admit 3@1, admit 2@1");
   CHECK(std::get<Admit>(core.Actions[0]).LoadStall == 300ms);
   CHECK(std::get<Admit>(core.Actions[0]).Why == Reason::AfterLoad);
-  // Time that it waits for the batch is no load stall.
+  // Time spent waiting for the batch does not count as load stall.
   core.Now += 5s;
   CHECK(core.finish(3) == "admit 1@1");
   CHECK(std::get<Admit>(core.Actions[0]).LoadStall == 300ms);
 }
 
-TEST_CASE("no class starves another for longer than the bound", "[desk]") {
+TEST_CASE("no class starves a lower one for longer than the bound", "[desk]") {
   auto [wait, first] = GENERATE(table<Span, std::string>(
       {{Span(1s), "admit 3@1"}, {Span(6s), "admit 2@1"}}));
-  CoreProbe core;
+  CoreDriver core;
   core.replicas(1, 1, 1);
-  core.place(7);
+  core.loadByOperator(7);
   core.arrive(1, 7);
   core.arrive(2, 7, 0);
   core.Now += wait;
@@ -38,13 +38,14 @@
   CHECK(core.finish(1) == first);
 }
 
-TEST_CASE("what can't be answered in time is refused at once", "[desk]") {
+TEST_CASE("a request that can't be answered in time is refused on arrival",
+          "[desk]") {
   CellCoreSettings settings;
   settings.QueueLimit = 6;
   settings.Queues.AdapterLimit = 3;
   settings.Queues.CallerLimit = 2;
   settings.Retries = {0, 0};
-  CoreProbe core(settings);
+  CoreDriver core(settings);
   core.replicas(1, 1, 1);
   core.send(LoadLimitChanged{1, 2.0});
   core.send(RuleChanged{99, {42}});
@@ -72,13 +73,13 @@
     event.Request = 50;
     reason = "caller-limit";
   }
-  SECTION("five loads ahead at two a second") {
+  SECTION("five loads ahead at two per second") {
     for (RequestKey it = 1; it <= 5; ++it)
       core.arrive(it, static_cast<AdapterKey>(it));
     event.Deadline = core.Now + 2s;
     reason = "deadline-infeasible";
   }
-  SECTION("deadline over") {
+  SECTION("deadline passed") {
     event.Deadline = core.Now;
     reason = "deadline-passed";
   }
@@ -86,11 +87,11 @@
     event.Adapter = 99;
     reason = "no-replica";
   }
-  SECTION("all replicas drain") {
+  SECTION("all replicas are draining") {
     core.send(ReplicaDraining{1});
     reason = "no-replica";
   }
-  SECTION("no budget for retries") {
+  SECTION("retry budget exhausted") {
     event.Retry = true;
     reason = "retry-budget";
   }
@@ -98,7 +99,7 @@
     core.send(LeaseChanged{LeaseMode::None});
     reason = "not-owner";
   }
-  SECTION("its load failed a moment ago") {
+  SECTION("its load has just failed") {
     core.arrive(1, 9);
     core.failed(9);
     event.Deadline = core.Now + 500ms;
@@ -110,22 +111,24 @@
 }
 
 TEST_CASE("Retry-After follows the queue and the load rate", "[desk]") {
-  auto [rate, least, most] = GENERATE(table<double, Span, Span>(
-      {{2.0, Span(4s), Span(6s)}, {0.5, Span(16s), Span(22s)}}));
-  CoreProbe core;
+  auto [rate, minRetryAfter, maxRetryAfter] =
+      GENERATE(table<double, Span, Span>(
+          {{2.0, Span(4s), Span(6s)}, {0.5, Span(16s), Span(22s)}}));
+  CoreDriver core;
   core.replicas(1, 1, 32);
   core.send(LoadLimitChanged{1, rate});
   for (RequestKey it = 1; it <= 10; ++it)
     core.arrive(it, static_cast<AdapterKey>(it), 1, 19s);
   CHECK(core.arrive(50, 50, 1, 1s) == "refuse 50 deadline-infeasible");
-  CHECK(core.RetryAfter >= least);
-  CHECK(core.RetryAfter <= most);
+  CHECK(core.RetryAfter >= minRetryAfter);
+  CHECK(core.RetryAfter <= maxRetryAfter);
 }
 
-TEST_CASE("a full queue sheds the lowest and latest first", "[desk]") {
+TEST_CASE("a full queue sheds the latest request of the lowest class first",
+          "[desk]") {
   CellCoreSettings settings;
   settings.QueueLimit = 3;
-  CoreProbe core(settings);
+  CoreDriver core(settings);
   core.replicas(1, 1, 1);
   core.arrive(1, 1, 0);
   core.arrive(2, 2, 1);
@@ -136,66 +139,70 @@
   CHECK(core.arrive(7, 2, 1) == "refuse 7 queue-full");
 }
 
-TEST_CASE("a request is given up as soon as it can't be met", "[desk]") {
-  CoreProbe core;
+TEST_CASE("a waiting request is refused as soon as its deadline can't be met",
+          "[desk]") {
+  CoreDriver core;
   core.replicas(1, 1, 1);
-  core.place(7);
+  core.loadByOperator(7);
   core.arrive(1, 7);
-  // The only slot serves, so the load can't start; about 500 ms are needed.
+  // The only slot is in use, so the load can't start; the request needs about
+  // 500 ms.
   core.arrive(2, 8, 1, 3s);
-  CHECK(core.pass(2400ms).empty());
-  CHECK(core.pass(100ms) == "refuse 2 deadline-infeasible");
-  // A place in the batch takes two seconds by all that is known yet.
+  CHECK(core.advance(2400ms).empty());
+  CHECK(core.advance(100ms) == "refuse 2 deadline-infeasible");
+  // The estimate for a place in the batch is two seconds so far.
   CHECK(core.arrive(3, 7, 1, 1s) == "refuse 3 deadline-infeasible");
   CHECK(core.arrive(4, 7, 1, 3s).empty());
-  CHECK(core.pass(2900ms).empty());
-  CHECK(core.pass(100ms) == "refuse 4 deadline-passed");
-  // Reading a prompt of 8000 tokens takes a second.
+  CHECK(core.advance(2900ms).empty());
+  CHECK(core.advance(100ms) == "refuse 4 deadline-passed");
+  // Prefilling a prompt of 8000 tokens takes a second.
   RequestArrived event{5, 7, 1, core.Now + 2500ms, 0, 8000};
   CHECK(core.send(event) == "refuse 5 deadline-infeasible");
 }
 
-TEST_CASE("a storm of retries adds no more than its share", "[desk]") {
+TEST_CASE("a burst of retries is limited to the retry budget", "[desk]") {
   CellCoreSettings settings;
   settings.Retries = {0.2, 10};
-  CoreProbe core(settings);
+  CoreDriver core(settings);
   core.replicas(1, 1, 4);
-  core.place(7);
+  core.loadByOperator(7);
   int first = 0;
-  int again = 0;
+  int retries = 0;
   for (RequestKey it = 1; it <= 2000; ++it) {
     RequestArrived event{it, 7, 1, core.Now + 10s};
     event.Retry = it % 10 != 0;
-    auto &n = event.Retry ? again : first;
+    auto &n = event.Retry ? retries : first;
     n += core.send(event).starts_with("admit") ? 1 : 0;
     core.finish(it);
   }
   CHECK(first == 200);
-  CHECK(again <= first / 5 + 10);
+  CHECK(retries <= first / 5 + 10);
 }
 
-TEST_CASE("what waits is refused when the ownership ends", "[desk]") {
-  CoreProbe core;
+TEST_CASE("waiting requests are refused when the ownership ends", "[desk]") {
+  CoreDriver core;
   core.replicas(1, 1, 1);
   core.arrive(1, 7);
   core.arrive(2, 8);
   CHECK(core.send(LeaseChanged{LeaseMode::None}) ==
         "refuse 2 not-owner, refuse 1 not-owner");
-  // An answer from before tells the next ownership nothing.
+  // An answer from before the ownership ended says nothing about the next one.
   core.send(LeaseChanged{LeaseMode::Recovering});
   CHECK(core.loaded(7).empty());
   CHECK(core.arrive(3, 7) == "load 7@1");
 }
 
-TEST_CASE("a request behind a higher class is refused earlier", "[admission]") {
-  // One second for each load, with the one that runs and its own.
+TEST_CASE(
+    "a request behind a higher class is refused at a shorter expected wait",
+    "[admission]") {
+  // One second for each load, including the running one and the request's own.
   auto [waiting, priority, refused] =
       GENERATE(table<AdapterKey, std::uint8_t, bool>({{4, 1, false},
                                                       {5, 1, true},
                                                       {5, 2, false},
                                                       {14, 2, false},
                                                       {14, 1, true}}));
-  CoreProbe core;
+  CoreDriver core;
   core.replicas(1, 64, 64);
   core.send(LoadLimitChanged{1, 1});
   core.arrive(100, 100, 2);
