--- a/Programs/hemlockgladed/Gateway/CellMember.cpp
+++ b/Programs/hemlockgladed/Gateway/CellMember.cpp
@@ -4,19 +4,20 @@
 
 namespace {
 
-/// A stream to an owner that is silent for this long is opened anew.
-constexpr auto OwnerSilence = std::chrono::milliseconds(1500);
-/// Time between tries to reach an owner.
-constexpr auto ReopenEvery = std::chrono::milliseconds(300);
+/// A stream to an owner that is silent for this long is closed and reopened.
+constexpr auto OwnerTimeout = std::chrono::milliseconds(1500);
+/// Time between two attempts to connect to an owner.
+constexpr auto ReopenInterval = std::chrono::milliseconds(300);
 
 } // namespace
 
 CellMember::CellMember(Settings settings, Hooks hooks, ReplicaView &view,
                        PeerNet &net, PeerTraffic &traffic, EventLog &log)
-    : Setup(std::move(settings)), Out(std::move(hooks)), View(view), Net(net),
-      Traffic(traffic), Log(log), Desk(Setup.Placement) {
+    : Options(std::move(settings)), Callbacks(std::move(hooks)), View(view),
+      Net(net), Traffic(traffic), Log(log), Planner(Options.Placement) {
   Lease = std::make_shared<CellLease>(
-      Setup.Cell, Setup.Lease, Out.Table, [] { return TimerService::now(); },
+      Options.Cell, Options.Lease, Callbacks.Table,
+      [] { return TimerService::now(); },
       [this](LeaseChange change, const CellLease &lease) {
         Log.write(LogClass::State, "lease",
                   {{"cell", lease.cell()},
@@ -27,47 +28,49 @@
                    {"remaining_ms", lease.remaining()}});
       });
   Lease->setNotes(
-      [this] { return Out.Crashes->notes(); },
-      [this](const std::string &notes) { Out.Crashes->onNotes(notes); });
+      [this] { return Callbacks.Crashes->notes(); },
+      [this](const std::string &notes) { Callbacks.Crashes->onNotes(notes); });
 }
 
 void CellMember::tick() {
-  bool follows = Out.Follows();
-  bool waits = !Out.Self().Active;
-  // Those in service look after the cells of other failure domains.
-  if (!waits || Setup.Cell == Setup.FailureDomain || Lease->held()) {
-    Lease->tick(
-        Setup.TakeoverDelay + (waits ? Setup.StandbyTakeoverDelay : Span(0)),
-        waits ? Setup.StandbyReadInterval + Setup.StandbySpread : Span(0));
+  bool follows = Callbacks.Follows();
+  bool isStandby = !Callbacks.Self().Active;
+  // Only nodes in service compete for the cells of other failure domains.
+  if (!isStandby || Options.Cell == Options.FailureDomain || Lease->held()) {
+    Lease->tick(Options.TakeoverDelay +
+                    (isStandby ? Options.StandbyTakeoverDelay : Span(0)),
+                isStandby ? Options.StandbyReadInterval + Options.StandbyJitter
+                          : Span(0));
   }
   if (Lease->held())
-    own();
+    runAsOwner();
   else if (Owning)
-    disown();
+    stopOwning();
   if (!Owning && follows)
     follow();
   else if (!Owning && Owner)
     unfollow("stands by");
   auto now = TimerService::now();
-  if (Urgent || now - BeatAt >= Setup.HeartbeatInterval)
+  if (HeartbeatDue || now - HeartbeatAt >= Options.HeartbeatInterval)
     sendHeartbeat();
   if (Owning)
     broadcast();
 }
 
-void CellMember::leave() { Lease->release(); }
+void CellMember::releaseLease() { Lease->release(); }
 
 bool CellMember::isUpToDate() const {
-  return Owning || TimerService::now() - OwnerHeardAt < Setup.MemberSilence;
+  return Owning ||
+         TimerService::now() - OwnerReceivedAt < Options.MemberTimeout;
 }
 
 const std::vector<DomainEntries> *CellMember::servingEntries() const {
-  return isUpToDate() && (Owning || RostersTold) ? &Rosters : nullptr;
+  return isUpToDate() && (Owning || EntriesReceived) ? &Entries : nullptr;
 }
 
 Span CellMember::silentFor() const {
   return Owning ? Span(0)
-                : TimerService::now() - std::max(OwnerHeardAt, StartedAt);
+                : TimerService::now() - std::max(OwnerReceivedAt, StartedAt);
 }
 
 bool CellMember::canOrder() const {
@@ -75,35 +78,37 @@
 }
 
 void CellMember::onVersion(const WeightsRef &weights, std::uint64_t version) {
-  Desk.setVersion(weights, version);
+  Planner.setVersion(weights, version);
 }
 
 void CellMember::onRegistryUpdate() {
   if (!Owning)
     return;
-  NewsDue = true;
+  UpdateDue = true;
   planSoon();
 }
 
 void CellMember::onCrashUpdate() {
   if (!Owning) {
-    Urgent = true;
+    HeartbeatDue = true;
     return;
   }
-  NewsDue = true;
+  UpdateDue = true;
   planSoon();
 }
 
-void CellMember::takeCrashes(const std::vector<CrashNotice> &crashes,
-                             std::uint64_t &told) {
-  bool upToDate = told == Out.Crashes->revision();
-  Out.Crashes->onPeerRecords(crashes);
+void CellMember::mergeCrashes(const std::vector<CrashNotice> &crashes,
+                              std::uint64_t &sentRevision) {
+  bool upToDate = sentRevision == Callbacks.Crashes->revision();
+  Callbacks.Crashes->onPeerRecords(crashes);
   if (upToDate)
-    told = Out.Crashes->revision();
+    sentRevision = Callbacks.Crashes->revision();
 }
 
-std::vector<CrashNotice> CellMember::crashesFor(std::uint64_t &told) const {
-  return Out.Crashes->since(std::exchange(told, Out.Crashes->revision()));
+std::vector<CrashNotice>
+CellMember::takeUnsentCrashes(std::uint64_t &sentRevision) const {
+  return Callbacks.Crashes->since(
+      std::exchange(sentRevision, Callbacks.Crashes->revision()));
 }
 
 void CellMember::onDemand(const std::string &service, const WeightsRef &weights,
@@ -113,9 +118,9 @@
   notice.Weights = weights.text();
   notice.Requests += waiting ? 0 : 1;
   if (waiting && !notice.Waiting)
-    Urgent = true;
+    HeartbeatDue = true;
   notice.Waiting = notice.Waiting || waiting;
-  if (Urgent)
+  if (HeartbeatDue)
     sendHeartbeat();
 }
 
@@ -135,13 +140,13 @@
 }
 
 void CellMember::onDone(const std::string &replica, const WeightsRef &weights) {
-  // An end is not urgent: it goes with the next beat or notice.
+  // An end is not urgent: it goes out with the next heartbeat or notice.
   Uses.push_back({replica, weights.text(), -1});
 }
 
 std::vector<UseNotice> CellMember::allUses() const {
   std::vector<UseNotice> out;
-  for (const auto &[key, n] : View.ownUses(Setup.Cell))
+  for (const auto &[key, n] : View.ownUses(Options.Cell))
     out.push_back({key.first, key.second.text(), static_cast<std::int32_t>(n)});
   return out;
 }
@@ -149,19 +154,19 @@
 void CellMember::onUses(Follower &from, const std::vector<UseNotice> &uses) {
   for (const auto &it : uses) {
     from.Uses[{it.Replica, it.Weights}] += it.Change;
-    Desk.onUse(it.Replica, WeightsRef::parse(it.Weights), it.Change);
+    Planner.onUse(it.Replica, WeightsRef::parse(it.Weights), it.Change);
   }
 }
 
 void CellMember::dropUses(Follower &follower) {
   for (const auto &[key, n] : std::exchange(follower.Uses, {}))
-    Desk.onUse(key.first, WeightsRef::parse(key.second), -n);
+    Planner.onUse(key.first, WeightsRef::parse(key.second), -n);
 }
 
 void CellMember::flushSoon() {
   if (std::exchange(FlushDue, true))
     return;
-  Out.After(flushEvery(), [this, alive = Alive] {
+  Callbacks.After(flushInterval(), [this, alive = Alive] {
     if (*alive)
       flush();
   });
@@ -172,7 +177,7 @@
   if (Owning) {
     onUses(Followers[SelfFollower], std::exchange(Uses, {}));
     onSentNotices(SelfFollower, std::exchange(Sent, {}));
-    return tellFollowers();
+    return sendNotices();
   }
   NodeHeartbeat brief;
   brief.Brief = true;
@@ -181,11 +186,11 @@
   sendToOwner(PeerMessage::NodeNotice, brief);
 }
 
-void CellMember::sendToOwner(PeerMessage kind, const NodeHeartbeat &beat) {
+void CellMember::sendToOwner(PeerMessage kind, const NodeHeartbeat &heartbeat) {
   if (!Owner)
     return;
-  auto text = pack(beat);
-  Traffic.add(kind, Setup.Cell == Setup.FailureDomain, text.size());
+  auto text = pack(heartbeat);
+  Traffic.add(kind, Options.Cell == Options.FailureDomain, text.size());
   Owner->send(text);
 }
 
@@ -194,40 +199,40 @@
   Refusals.push_back({replica, weights.text(), missing});
 }
 
-NodeHeartbeat CellMember::takeBeat() {
+NodeHeartbeat CellMember::takeHeartbeat() {
   NodeHeartbeat out;
-  out.Self = Out.Self();
+  out.Self = Callbacks.Self();
   out.SentAtUs = TimerService::now().count();
-  for (const auto &[replica, n] : View.ownRunning(Setup.Cell))
+  for (const auto &[replica, n] : View.ownRunning(Options.Cell))
     out.Running.push_back({replica, n});
   for (auto &[key, notice] : std::exchange(Demand, {}))
     out.Demand.push_back(std::move(notice));
   out.Refusals = std::exchange(Refusals, {});
   out.Uses = std::exchange(Uses, {});
-  out.KnownPositions = Out.KnownPositions();
-  auto load = Out.Load();
+  out.KnownPositions = Callbacks.KnownPositions();
+  auto load = Callbacks.Load();
   out.RequestsPerSecond = load.Requests;
   out.BytesPerSecond = load.Bytes;
   if (!Owning)
-    out.Crashes = crashesFor(OwnerToldCrashes);
+    out.Crashes = takeUnsentCrashes(CrashesSentToOwner);
   return out;
 }
 
 void CellMember::sendHeartbeat() {
-  Urgent = false;
-  BeatAt = TimerService::now();
+  HeartbeatDue = false;
+  HeartbeatAt = TimerService::now();
   if (Owning) {
-    onNodeBeat(SelfFollower, takeBeat());
+    onNodeHeartbeat(SelfFollower, takeHeartbeat());
     return;
   }
   if (Owner)
-    sendToOwner(PeerMessage::NodeBeat, takeBeat());
+    sendToOwner(PeerMessage::NodeHeartbeat, takeHeartbeat());
 }
 
 void CellMember::follow() {
   auto now = TimerService::now();
   const auto &row = Lease->row();
-  if (Owner && now - std::max(OwnerHeardAt, OpenedAt) > OwnerSilence) {
+  if (Owner && now - std::max(OwnerReceivedAt, OpenedAt) > OwnerTimeout) {
     Net.drop(OwnerAddress);
     unfollow("silent");
   }
@@ -235,7 +240,7 @@
     return;
   if (Owner && OwnerAddress == row->Address)
     return;
-  if (now - OpenedAt < ReopenEvery)
+  if (now - OpenedAt < ReopenInterval)
     return;
   unfollow("another owner");
   OpenedAt = now;
@@ -245,21 +250,21 @@
   hooks.OnMessage = [this, alive = Alive, self](std::string_view message) {
     if (!*alive || self->lock() != Owner)
       return;
-    auto beat = unpack<OwnerHeartbeat>(message);
-    if (beat)
-      onOwnerBeat(*beat);
+    auto heartbeat = unpack<OwnerHeartbeat>(message);
+    if (heartbeat)
+      onOwnerHeartbeat(*heartbeat);
     else
       Log.write(LogClass::State, "message-refused",
-                {{"what", "owner beat"}, {"cell", Setup.Cell}});
+                {{"what", "owner beat"}, {"cell", Options.Cell}});
   };
   hooks.OnClosed = [this, alive = Alive, self](bool) {
     if (*alive && self->lock() == Owner)
       unfollow("closed");
   };
-  OwnerToldCrashes = 0;
-  auto first = takeBeat();
+  CrashesSentToOwner = 0;
+  auto first = takeHeartbeat();
   first.Uses = allUses();
-  Owner = Net.open(OwnerAddress, std::string(peer_path::Cell) + Setup.Cell,
+  Owner = Net.open(OwnerAddress, std::string(peer_path::Cell) + Options.Cell,
                    pack(first), std::move(hooks));
   *self = Owner;
 }
@@ -271,16 +276,16 @@
   owner->OnClosed = nullptr;
   owner->close();
   OwnerOrders = false;
-  // A new owner's first messages need not say which nodes serve; those that the
-  // one before told of may be gone, itself among them.
-  RostersTold = false;
-  Out.OnServingEntries();
-  View.onOwnerLost(Setup.Cell);
+  // A new owner's first messages need not list the nodes in service, and those
+  // that the previous owner listed may have failed, that owner among them.
+  EntriesReceived = false;
+  Callbacks.OnServingEntries();
+  View.onOwnerLost(Options.Cell);
   Log.write(LogClass::State, "owner-lost",
-            {{"cell", Setup.Cell},
+            {{"cell", Options.Cell},
              {"address", OwnerAddress},
              {"why", why},
-             {"heard_ms_ago", TimerService::now() - OwnerHeardAt}});
+             {"heard_ms_ago", TimerService::now() - OwnerReceivedAt}});
 }
 
 void CellMember::onHoldings(const ReplicaNotice &notice, Instant now) {
@@ -288,7 +293,7 @@
   for (const auto &it : notice.Held)
     held[WeightsRef::parse(it.Weights)] = {
         it.Version, it.ReadyInUs ? now + Span(it.ReadyInUs) : Instant{},
-        it.Leaving};
+        it.Evicting};
   if (notice.Complete)
     return View.onResidency(notice.Replica, std::move(held), now);
   std::vector<WeightsRef> dropped;
@@ -297,43 +302,45 @@
   View.onResidencyChange(notice.Replica, held, dropped);
 }
 
-void CellMember::onRosters(const std::vector<DomainNotice> &told) {
-  Rosters.clear();
-  for (const auto &domain : told) {
+void CellMember::onEntries(const std::vector<DomainNotice> &received) {
+  Entries.clear();
+  for (const auto &domain : received) {
     DomainEntries entries{domain.FailureDomain, {}};
     for (const auto &it : domain.Entries)
       entries.Entries.push_back({it.Node, it.CallerAddress, {}});
-    Rosters.push_back(std::move(entries));
+    Entries.push_back(std::move(entries));
   }
-  RostersTold = true;
-  Out.OnServingEntries();
+  EntriesReceived = true;
+  Callbacks.OnServingEntries();
 }
 
-void CellMember::onOwnerBeat(const OwnerHeartbeat &beat) {
+void CellMember::onOwnerHeartbeat(const OwnerHeartbeat &heartbeat) {
   auto now = TimerService::now();
-  if (now - OwnerHeardAt > OwnerSilence)
+  if (now - OwnerReceivedAt > OwnerTimeout)
     Log.write(LogClass::State, "owner-heard",
-              {{"cell", Setup.Cell},
+              {{"cell", Options.Cell},
                {"address", OwnerAddress},
-               {"fence", beat.Fence}});
-  OwnerHeardAt = now;
-  OwnerOrders = beat.Ordering;
-  Lease->onHolderHeartbeat(beat.LeaseVersion, Span(beat.RemainingUs));
-  for (const auto &it : beat.Replicas)
+               {"fence", heartbeat.Fence}});
+  OwnerReceivedAt = now;
+  OwnerOrders = heartbeat.Ordering;
+  Lease->onHolderHeartbeat(heartbeat.LeaseVersion, Span(heartbeat.RemainingUs));
+  for (const auto &it : heartbeat.Replicas)
     onHoldings(it, now);
-  for (const auto &it : beat.Sent)
+  for (const auto &it : heartbeat.Sent)
     View.onSentElsewhere(it.Replica, it.Tokens, now);
-  for (const auto &it : beat.Running)
+  for (const auto &it : heartbeat.Running)
     View.onRunningElsewhere(it.Replica, it.Running, now);
-  for (const auto &[cell, row] : beat.Leases)
-    Out.OnLease(cell, row);
-  if (beat.EntriesChanged)
-    onRosters(beat.Entries);
-  Out.OnUpdate(beat.Update,
-               beat.AnswersUs ? std::min(now, Span(beat.AnswersUs)) : LongAgo);
-  takeCrashes(beat.Crashes, OwnerToldCrashes);
-  if (!beat.Replicas.empty())
-    Out.OnChanged();
+  for (const auto &[cell, row] : heartbeat.Leases)
+    Callbacks.OnLease(cell, row);
+  if (heartbeat.EntriesChanged)
+    onEntries(heartbeat.Entries);
+  Callbacks.OnUpdate(heartbeat.Update,
+                     heartbeat.EchoedSentAtUs
+                         ? std::min(now, Span(heartbeat.EchoedSentAtUs))
+                         : LongAgo);
+  mergeCrashes(heartbeat.Crashes, CrashesSentToOwner);
+  if (!heartbeat.Replicas.empty())
+    Callbacks.OnChanged();
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/CellMember.h
+++ b/Programs/hemlockgladed/Gateway/CellMember.h
@@ -16,82 +16,87 @@
 
 namespace hemlockglade {
 
-/// One node's part in one cell. Nodes in service follow the cell's owner: they
-/// tell what they want and run there, and hear what the replicas hold. The
-/// owner chooses which nodes serve callers. The node that has the cell's lease
-/// is the owner, its own follower among them.
+/// One node's part in one cell. A node in service follows the cell's owner: it
+/// sends its demand and its running requests, and receives what the replicas
+/// hold. The owner chooses which nodes serve callers. The node that has the
+/// cell's lease is the owner, and is among its own followers.
 ///
-/// A node that stands by follows only the owner of its own failure domain, and
-/// is told only what it needs to take callers or a lease at any moment.
+/// A standby node follows only the owner of its own failure domain, and
+/// receives only what it needs to take callers or a lease at any moment.
 class CellMember {
 public:
   struct Settings {
     std::string Cell;
     CellLease::Settings Lease;
     CellPlacement::Settings Placement;
-    /// How long a free lease is left to nodes that are nearer.
+    /// How long this node leaves a free lease to nodes that are nearer to the
+    /// cell.
     Span TakeoverDelay{0};
-    /// Time between two beats when there is nothing urgent.
+    /// Time between two heartbeats when nothing is urgent.
     Span HeartbeatInterval = std::chrono::milliseconds(300);
-    /// Time that notices of sent requests, and an owner's of what replicas
-    /// hold, are gathered. Shorter than what an engine needs for the shortest
-    /// prompts, some 10 ms.
-    Span FlushEvery = std::chrono::milliseconds(3);
-    /// Least time between two plans that something urgent asks for.
-    Span PlanEvery = std::chrono::milliseconds(2);
-    /// How much longer an owner waits for each node that it has to tell at
-    /// once: it bounds its messages a second, and what it plans.
-    Span FlushEach = std::chrono::microseconds(400);
-    Span PlanEach = std::chrono::microseconds(200);
+    /// How long notices of sent requests, and an owner's of what replicas hold,
+    /// are collected before they are sent. Shorter than what an engine needs
+    /// for the shortest prompts, some 10 ms.
+    Span FlushInterval = std::chrono::milliseconds(3);
+    /// Minimum time between two placement runs that something urgent triggers.
+    Span PlanInterval = std::chrono::milliseconds(2);
+    /// Added to the two intervals for each follower that is sent notices at
+    /// once: it bounds the owner's messages a second, and its placement runs.
+    Span FlushPerFollower = std::chrono::microseconds(400);
+    Span PlanPerFollower = std::chrono::microseconds(200);
     /// Failure domain of this node. The cell of another one is handed over once
-    /// a node there has been ready for the time below, so that the loss of one
-    /// host stops the orders of one cell only. So is a cell that a weak host
-    /// holds to a strong one of the same failure domain.
+    /// a node there has been ready for `BetterOwnerDelay`, so that the loss of
+    /// one host stops the orders of one cell only. A weak host also hands the
+    /// cell of its own failure domain over to a strong host there.
     std::string FailureDomain;
-    Span NearerReady = std::chrono::seconds(3);
-    /// A node that has not beaten for this long is not offered to callers.
-    Span MemberSilence = std::chrono::milliseconds(1200);
-    /// It is forgotten after this.
-    Span MemberGone = std::chrono::seconds(6);
-    /// How much longer a node that stands by leaves a free lease, and the look
-    /// at its row, to those in service: few look, and others step in where
-    /// these are gone.
+    Span BetterOwnerDelay = std::chrono::seconds(3);
+    /// A node that has sent no heartbeat for this long is not offered to
+    /// callers.
+    Span MemberTimeout = std::chrono::milliseconds(1200);
+    /// Its entry is removed after this.
+    Span MemberExpiry = std::chrono::seconds(6);
+    /// How much longer a standby node leaves a free lease, and the reading of
+    /// its row, to the nodes in service: few nodes read the row, and others
+    /// step in where these have failed.
     Span StandbyTakeoverDelay = std::chrono::milliseconds(1500);
     Span StandbyReadInterval = std::chrono::milliseconds(2000);
-    /// This node's own addition to that, so that not all look together.
-    Span StandbySpread{0};
+    /// This node's own addition to that, so that standby nodes do not all read
+    /// at the same time.
+    Span StandbyJitter{0};
     EntrySelector::Settings EntrySelection;
-    /// How long a new owner names nobody: its nodes have yet to find it, and
-    /// all callers of a failure domain would be sent to the few that have. What
-    /// owners of other cells tell counts meanwhile.
+    /// How long a new owner sends no list of nodes in service: its nodes have
+    /// yet to connect to it, and all callers of a failure domain would be sent
+    /// to the few that have. The lists of other cells' owners are used
+    /// meanwhile.
     Span EntrySelectionDelay = std::chrono::milliseconds(1000);
   };
   struct Hooks {
     TableHooks Table;
     EngineHooks Engines;
     std::function<MemberNotice()> Self;
-    /// What callers ask of this node.
+    /// The load from callers on this node.
     std::function<EntryLoad()> Load;
     /// Whether this node has to follow the cell's owner now.
     std::function<bool()> Follows;
-    /// What the replicas hold or do has changed for this node.
+    /// Called when what the replicas hold or run has changed.
     std::function<void()> OnChanged;
     std::function<std::shared_ptr<const RoutePlan>()> Plan;
     std::function<void(Span, std::function<void()>)> After;
-    /// Up to where this node knows the registry, if this cell's owner is to
-    /// tell it news, else zeros.
+    /// The registry positions that this node has, if it is to receive registry
+    /// updates from this cell's owner, else zeros.
     std::function<RegistryPositions()> KnownPositions;
-    /// Other cells' lease rows as this node knows them, and as it is told.
+    /// Other cells' lease rows as this node has them, and as it receives them.
     std::function<std::vector<std::pair<std::string, std::string>>()> Leases;
     std::function<void(const std::string &cell, const std::string &row)>
         OnLease;
-    /// Which nodes serve has changed, or is not known any more.
+    /// Called when the list of nodes in service has changed, or is not known
+    /// any more.
     std::function<void()> OnServingEntries;
     std::function<RegistryUpdate(const RegistryPositions &known)> UpdateSince;
-    /// The owner has told news; it sent them after that time of this node's
-    /// clock.
+    /// Called with an update from the owner, which sent it after that time of
+    /// this node's clock.
     std::function<void(const RegistryUpdate &, Instant sentAfter)> OnUpdate;
-    /// Requests that crash replicas, which nodes tell each other of.
+    /// Requests that crash replicas, which nodes report to each other.
     CrashCoordinator *Crashes = nullptr;
   };
 
@@ -100,42 +105,45 @@
 
   /// Does what is due; to be called about every 50 ms.
   void tick();
-  /// A node opened a stream to follow this one.
+  /// Called when a node has opened a stream to follow this one.
   void onFollower(const std::shared_ptr<PeerStream> &stream);
   void onVersion(const WeightsRef &weights, std::uint64_t version);
-  /// This node has seen something new in the registry.
+  /// Called when this node has received changes from the registry.
   void onRegistryUpdate();
-  /// Something new is known of requests that crash replicas.
+  /// Called when something new is known of requests that crash replicas.
   void onCrashUpdate();
 
-  /// A request for weights came here; `waiting` if no replica has them.
+  /// Called when a request for weights arrives at this node; `waiting` if no
+  /// replica has them.
   void onDemand(const std::string &service, const WeightsRef &weights,
                 bool waiting);
   void onCongested(const std::string &service, const WeightsRef &weights);
-  /// A request went from here to one of the cell's replicas.
+  /// Called when this node sends a request to one of the cell's replicas.
   void onSent(const std::string &replica, std::uint32_t tokens,
               const WeightsRef &weights);
-  /// It is over.
+  /// Called when that request has ended.
   void onDone(const std::string &replica, const WeightsRef &weights);
   void onRefusal(const std::string &replica, const WeightsRef &weights,
                  bool missing);
 
-  /// Gives the lease up and orders no more.
-  void leave();
+  /// Releases the lease and gives no more orders.
+  void releaseLease();
 
   /// Whether this cell can load weights now, as far as this node knows.
   bool canOrder() const;
   bool isUpToDate() const;
-  /// Which nodes serve, as the present owner tells; none if it is silent.
+  /// The nodes in service as the present owner reports them; null if it is
+  /// silent or has sent none.
   const std::vector<DomainEntries> *servingEntries() const;
-  /// How long the owner has been silent, since the start if it never spoke.
+  /// How long nothing has been received from the owner; counted from the start
+  /// if it never sent anything.
   Span silentFor() const;
   bool isOwner() const { return Owning; }
   const CellLease &lease() const { return *Lease; }
   void onPeerRow(const CellLeaseRow &row) { Lease->onPeerRow(row); }
-  /// Tells the owner at once what this node says of itself.
+  /// Sends the owner a heartbeat at once.
   void sendHeartbeat();
-  const std::string &cell() const { return Setup.Cell; }
+  const std::string &cell() const { return Options.Cell; }
   std::uint64_t orders() const { return Orders; }
 
 private:
@@ -145,30 +153,30 @@
   struct Follower {
     std::shared_ptr<PeerStream> Stream;
     MemberNotice Self;
-    Instant BeatAt{};
+    Instant ReceivedAt{};
     std::map<std::string, std::uint32_t> Running;
     std::map<std::pair<std::string, std::string>, std::int32_t> Uses;
     EntryLoad Load;
-    /// Number of the last change of holdings that it was told of.
-    std::uint64_t ToldHoldings = 0;
-    std::map<std::string, std::uint32_t> ToldRunning;
-    std::uint64_t ToldRosters = 0;
-    std::uint64_t ToldLeases = 0;
-    std::uint64_t ToldCrashes = 0;
-    /// Some of the requests that are to be told are its own.
-    bool HasSent = false;
-    /// When it sent its last beat, by its own clock.
+    /// Number of the last change of holdings that it was sent.
+    std::uint64_t SentHoldings = 0;
+    std::map<std::string, std::uint32_t> SentRunning;
+    std::uint64_t SentEntries = 0;
+    std::uint64_t SentLeases = 0;
+    std::uint64_t SentCrashes = 0;
+    /// Some of the requests in `PendingSent` are its own.
+    bool HasPendingSent = false;
+    /// When it sent its last heartbeat, by its own clock.
     std::int64_t SentAtUs = 0;
-    /// Up to where it knows the registry, by itself or from this node.
-    RegistryPositions Knows;
+    /// Registry positions that it has, by itself or from this node.
+    RegistryPositions Positions;
   };
 
-  /// Takes what a peer tells of crashes, of which it need not be told then;
-  /// `told` is up to where it has been told.
-  void takeCrashes(const std::vector<CrashNotice> &crashes,
-                   std::uint64_t &told);
-  /// What a peer has not been told of crashes.
-  std::vector<CrashNotice> crashesFor(std::uint64_t &told) const;
+  /// Merges crash records from a peer, which need not be sent back to it;
+  /// `sentRevision` is the revision up to which it has been sent records.
+  void mergeCrashes(const std::vector<CrashNotice> &crashes,
+                    std::uint64_t &sentRevision);
+  /// The crash records that a peer has not been sent yet.
+  std::vector<CrashNotice> takeUnsentCrashes(std::uint64_t &sentRevision) const;
 
   // The node's side.
   void follow();
@@ -179,70 +187,73 @@
   void dropUses(Follower &follower);
   std::vector<UseNotice> allUses() const;
   void onSentNotices(std::uint64_t from, const std::vector<SentNotice> &sent);
-  NodeHeartbeat takeBeat();
-  void onOwnerBeat(const OwnerHeartbeat &beat);
-  void onRosters(const std::vector<DomainNotice> &told);
+  NodeHeartbeat takeHeartbeat();
+  void onOwnerHeartbeat(const OwnerHeartbeat &heartbeat);
+  void onEntries(const std::vector<DomainNotice> &received);
   void onHoldings(const ReplicaNotice &notice, Instant now);
   void unfollow(std::string_view why);
-  void sendToOwner(PeerMessage kind, const NodeHeartbeat &beat);
+  void sendToOwner(PeerMessage kind, const NodeHeartbeat &heartbeat);
 
   // The owner's side.
-  void own();
-  void carryOut(const PlacementAction &action);
-  void onNodeBeat(std::uint64_t id, const NodeHeartbeat &beat);
-  void takeDemand(const NodeHeartbeat &beat, Instant now);
+  void runAsOwner();
+  void execute(const PlacementAction &action);
+  void onNodeHeartbeat(std::uint64_t id, const NodeHeartbeat &heartbeat);
+  void takeDemand(const NodeHeartbeat &heartbeat, Instant now);
   void broadcast();
   void sendTo(Follower &follower, PeerMessage kind, const std::string &text);
-  /// All that a follower has not heard.
-  void tell(std::uint64_t id, Follower &follower);
-  OwnerHeartbeat beatFor(Follower &follower);
-  OwnerHeartbeat emptyBeat() const;
-  void noteHoldings();
+  /// Sends a follower a heartbeat with all that it has not been sent yet.
+  void sendHeartbeatTo(std::uint64_t id, Follower &follower);
+  OwnerHeartbeat heartbeatFor(Follower &follower);
+  OwnerHeartbeat newOwnerHeartbeat() const;
+  void recordHoldings();
   std::vector<ReplicaNotice> holdingsSince(std::uint64_t number) const;
-  void tellFollowers();
-  Span flushEvery() const;
-  Span planEvery() const;
-  void addNews(Follower &follower, OwnerHeartbeat &beat);
-  /// Whether a node has been heard lately.
-  bool heard(std::uint64_t id, const Follower &follower, Instant now) const;
+  void sendNotices();
+  Span flushInterval() const;
+  Span planInterval() const;
+  void addRegistryUpdate(Follower &follower, OwnerHeartbeat &heartbeat);
+  /// Whether a node has sent a heartbeat lately.
+  bool isResponsive(std::uint64_t id, const Follower &follower,
+                    Instant now) const;
   void chooseEntries(Instant now);
-  void addRosters(OwnerHeartbeat &beat) const;
-  /// Followers that are told at once of what is sent and held.
-  std::size_t toldAtOnce() const;
-  void noteLeases();
+  void addEntries(OwnerHeartbeat &heartbeat) const;
+  /// Number of followers that are sent notices at once of what is sent and
+  /// held.
+  std::size_t activeFollowers() const;
+  void updateLeases();
   void countRunning();
-  void forgetSilent(Instant now);
-  /// Whether a node stands nearer to the cell, or as near on a stronger host.
+  void removeExpiredFollowers(Instant now);
+  /// Whether a node is in the cell's failure domain and this one is not, or is
+  /// there as well on a much stronger host.
   bool isBetterOwner(const MemberNotice &member) const;
   void handOverIfBetter(Instant now);
-  /// Drops what followers were told of replicas that are gone.
-  void forgetReplicas();
-  void disown();
+  /// Drops the state kept for followers about replicas that no longer exist.
+  void removeUnknownReplicas();
+  void stopOwning();
 
-  Settings Setup;
-  Hooks Out;
+  Settings Options;
+  Hooks Callbacks;
   ReplicaView &View;
   PeerNet &Net;
   PeerTraffic &Traffic;
   EventLog &Log;
   std::shared_ptr<CellLease> Lease;
-  CellPlacement Desk;
+  CellPlacement Planner;
   bool Owning = false;
-  /// What the desk was told of last.
-  std::uint64_t DeskRevision = 0;
-  std::shared_ptr<const RoutePlan> DeskPlan;
+  /// What the planner was last given.
+  std::uint64_t PlannerViewRevision = 0;
+  std::shared_ptr<const RoutePlan> PlannerRoutePlan;
 
   std::shared_ptr<PeerStream> Owner;
   std::string OwnerAddress;
-  Instant OwnerHeardAt{-3'600'000'000};
+  Instant OwnerReceivedAt{-3'600'000'000};
   Instant OpenedAt{-3'600'000'000};
   bool OwnerOrders = false;
-  /// Up to where the owner has been told of crashes.
-  std::uint64_t OwnerToldCrashes = 0;
+  /// Revision of the crash records that the owner has been sent.
+  std::uint64_t CrashesSentToOwner = 0;
   Instant StartedAt = TimerService::now();
   Instant OwnsSince{};
-  std::vector<DomainEntries> Rosters;
-  bool RostersTold = false;
+  std::vector<DomainEntries> Entries;
+  bool EntriesReceived = false;
 
   std::map<std::pair<std::string, WeightsRef>, DemandNotice> Demand;
   std::vector<RefusalNotice> Refusals;
@@ -250,28 +261,30 @@
   std::vector<UseNotice> Uses;
   bool FlushDue = false;
   bool PlanDue = false;
-  bool NewsDue = false;
-  bool Urgent = false;
-  Instant BeatAt{};
+  bool UpdateDue = false;
+  bool HeartbeatDue = false;
+  Instant HeartbeatAt{};
 
   std::map<std::uint64_t, Follower> Followers;
   std::uint64_t NextFollower = 1;
-  /// Who serves each failure domain whose nodes follow this one.
-  std::map<std::string, EntrySelector> Choosers;
-  std::uint64_t RostersRevision = 1;
-  /// A node has come, gone or changed what it says of itself.
+  /// Selects the nodes in service of each failure domain whose nodes follow
+  /// this one.
+  std::map<std::string, EntrySelector> Selectors;
+  std::uint64_t EntriesRevision = 1;
+  /// A node has been added, was removed or has changed its notice about itself.
   bool NodesChanged = false;
   std::vector<std::pair<std::string, std::string>> Leases;
   std::uint64_t LeasesRevision = 1;
-  HoldingsLog Held;
-  /// Revision of the desk's books that the log of holdings has.
-  std::uint64_t NotedRevision = 0;
-  /// Requests that were sent since followers were told, and by which follower.
-  std::vector<std::pair<std::uint64_t, SentNotice>> SentToTell;
+  HoldingsLog Holdings;
+  /// Revision of the planner that `Holdings` has.
+  std::uint64_t RecordedRevision = 0;
+  /// Requests sent since the last notices to followers, each with the number of
+  /// the follower that sent it.
+  std::vector<std::pair<std::uint64_t, SentNotice>> PendingSent;
   std::map<std::string, std::uint32_t> TotalRunning;
   Instant BroadcastAt{};
-  /// Since when a better owner is ready.
-  std::optional<Instant> NearerSince;
+  /// Since when a better owner has been ready.
+  std::optional<Instant> BetterOwnerSince;
   std::uint64_t Orders = 0;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
--- a/Programs/hemlockgladed/Gateway/CellMemberOwner.cpp
+++ b/Programs/hemlockgladed/Gateway/CellMemberOwner.cpp
@@ -1,4 +1,4 @@
-// What a node does for a cell that it owns.
+// The part of CellMember that runs while the node owns the cell.
 
 #include "Programs/hemlockgladed/Gateway/CellMember.h"
 
@@ -13,12 +13,12 @@
          a.Active != b.Active;
 }
 
-HostCapacity meansOf(const MemberNotice &node) {
+HostCapacity capacityOf(const MemberNotice &node) {
   return {node.Cores, node.LinkMbps};
 }
 
-/// How much stronger a host has to be to be given a cell.
-constexpr double MuchStronger = 2;
+/// How many times stronger a host has to be for a cell to be handed over to it.
+constexpr double MinCapacityRatio = 2;
 
 std::string_view orderName(OrderKind kind) {
   return kind == OrderKind::Load ? "load" : "unload";
@@ -26,45 +26,45 @@
 
 } // namespace
 
-void CellMember::own() {
+void CellMember::runAsOwner() {
   auto now = TimerService::now();
   if (!std::exchange(Owning, true)) {
     unfollow("owns the cell");
     OwnsSince = now;
-    Rosters.clear();
-    Desk.forget();
+    Entries.clear();
+    Planner.forget();
     Uses.clear();
-    Held.clear();
-    NotedRevision = 0;
-    SentToTell.clear();
+    Holdings.clear();
+    RecordedRevision = 0;
+    PendingSent.clear();
     onUses(Followers[SelfFollower], allUses());
-    BeatAt = Instant{};
+    HeartbeatAt = Instant{};
   }
-  auto plan = Out.Plan();
-  if (DeskRevision != View.revision() || DeskPlan != plan) {
-    DeskRevision = View.revision();
-    DeskPlan = plan;
-    Desk.setReplicas(View.replicasIn(Setup.Cell), plan, now);
-    forgetReplicas();
+  auto plan = Callbacks.Plan();
+  if (PlannerViewRevision != View.revision() || PlannerRoutePlan != plan) {
+    PlannerViewRevision = View.revision();
+    PlannerRoutePlan = plan;
+    Planner.setReplicas(View.replicasIn(Options.Cell), plan, now);
+    removeUnknownReplicas();
   }
-  Desk.setLoadingElsewhere(View.loadingOutside(Setup.Cell, false, now));
-  Desk.setModelsElsewhere(View.loadingOutside(Setup.Cell, true, now));
-  for (const auto &it : Desk.plan(Lease->mayOrder(), now))
-    carryOut(it);
+  Planner.setLoadingElsewhere(View.loadingOutside(Options.Cell, false, now));
+  Planner.setModelsElsewhere(View.loadingOutside(Options.Cell, true, now));
+  for (const auto &it : Planner.plan(Lease->mayOrder(), now))
+    execute(it);
 }
 
-void CellMember::forgetReplicas() {
-  auto all = Desk.replicas();
+void CellMember::removeUnknownReplicas() {
+  auto all = Planner.replicas();
   std::set<std::string> known(all.begin(), all.end());
   auto gone = [&known](const auto &it) { return !known.contains(it.first); };
-  Held.keepOnly(known);
+  Holdings.keepOnly(known);
   for (auto &[id, follower] : Followers)
-    std::erase_if(follower.ToldRunning, gone);
+    std::erase_if(follower.SentRunning, gone);
 }
 
-void CellMember::disown() {
+void CellMember::stopOwning() {
   Owning = false;
-  RostersTold = false;
+  EntriesReceived = false;
   for (auto &[id, follower] : std::exchange(Followers, {})) {
     dropUses(follower);
     if (follower.Stream) {
@@ -72,78 +72,79 @@
       follower.Stream->close();
     }
   }
-  View.onOwnerLost(Setup.Cell);
-  Out.OnServingEntries();
+  View.onOwnerLost(Options.Cell);
+  Callbacks.OnServingEntries();
 }
 
-void CellMember::carryOut(const PlacementAction &action) {
-  auto records = View.replicasIn(Setup.Cell);
+void CellMember::execute(const PlacementAction &action) {
+  auto records = View.replicasIn(Options.Cell);
   auto it = std::find_if(records.begin(), records.end(), [&](const auto &r) {
     return r->Incarnation.text() == action.Replica;
   });
   if (it == records.end())
     return;
   if (action.Type == PlacementAction::Kind::Report) {
-    Out.Engines.Report(**it, [this, alive = Alive,
-                              replica = action.Replica](const auto &report) {
-      if (*alive)
-        Desk.onReport(replica, report, TimerService::now());
-    });
+    Callbacks.Engines.Report(
+        **it,
+        [this, alive = Alive, replica = action.Replica](const auto &report) {
+          if (*alive)
+            Planner.onReport(replica, report, TimerService::now());
+        });
     return;
   }
   auto order = action.Order;
   order.Holder = Lease->row()->Holder;
   order.Fence = Lease->fence();
   if (!Lease->mayOrder()) {
-    Desk.onOrderAnswer(action.Replica, order, OrderAnswer::Rejected,
-                       TimerService::now());
+    Planner.onOrderAnswer(action.Replica, order, OrderAnswer::Rejected,
+                          TimerService::now());
     return;
   }
   ++Orders;
   auto sentAt = TimerService::now();
-  Out.Engines.Order(**it, order,
-                    [this, alive = Alive, order, sentAt,
-                     replica = action.Replica,
-                     reason = action.Reason](OrderAnswer answer) {
-                      if (!*alive)
-                        return;
-                      auto now = TimerService::now();
-                      Log.write(LogClass::State, "order",
-                                {{"cell", Setup.Cell},
-                                 {"replica", replica},
-                                 {"kind", orderName(order.Kind)},
-                                 {"weights", order.Weights.text()},
-                                 {"version", order.Version},
-                                 {"count", order.ExpectedCount},
-                                 {"fence", order.Fence},
-                                 {"reason", reason},
-                                 {"answer", orderAnswerName(answer)},
-                                 {"took_ms", now - sentAt}});
-                      Desk.onOrderAnswer(replica, order, answer, now);
-                      planSoon();
-                    });
+  Callbacks.Engines.Order(**it, order,
+                          [this, alive = Alive, order, sentAt,
+                           replica = action.Replica,
+                           reason = action.Reason](OrderAnswer answer) {
+                            if (!*alive)
+                              return;
+                            auto now = TimerService::now();
+                            Log.write(LogClass::State, "order",
+                                      {{"cell", Options.Cell},
+                                       {"replica", replica},
+                                       {"kind", orderName(order.Kind)},
+                                       {"weights", order.Weights.text()},
+                                       {"version", order.Version},
+                                       {"count", order.ExpectedCount},
+                                       {"fence", order.Fence},
+                                       {"reason", reason},
+                                       {"answer", orderAnswerName(answer)},
+                                       {"took_ms", now - sentAt}});
+                            Planner.onOrderAnswer(replica, order, answer, now);
+                            planSoon();
+                          });
 }
 
 void CellMember::onFollower(const std::shared_ptr<PeerStream> &stream) {
   if (!Owning) {
-    // The other node will read the lease row again and find the owner.
+    // The other node reads the lease row again and finds the owner there.
     stream->close();
     return;
   }
   auto id = NextFollower++;
   auto &follower = Followers[id];
   follower.Stream = stream;
-  follower.BeatAt = TimerService::now();
+  follower.ReceivedAt = TimerService::now();
   stream->OnMessage = [this, alive = Alive, id](std::string_view message) {
     auto it = *alive ? Followers.find(id) : Followers.end();
     if (it == Followers.end())
       return;
-    auto beat = unpack<NodeHeartbeat>(message);
-    if (beat)
-      onNodeBeat(id, *beat);
+    auto heartbeat = unpack<NodeHeartbeat>(message);
+    if (heartbeat)
+      onNodeHeartbeat(id, *heartbeat);
     else
       Log.write(LogClass::State, "message-refused",
-                {{"what", "node beat"}, {"cell", Setup.Cell}});
+                {{"what", "node beat"}, {"cell", Options.Cell}});
   };
   stream->OnClosed = [this, alive = Alive, id](bool) {
     auto it = *alive ? Followers.find(id) : Followers.end();
@@ -156,73 +157,76 @@
   };
 }
 
-void CellMember::onNodeBeat(std::uint64_t id, const NodeHeartbeat &beat) {
+void CellMember::onNodeHeartbeat(std::uint64_t id,
+                                 const NodeHeartbeat &heartbeat) {
   auto now = TimerService::now();
   auto &follower = Followers[id];
-  follower.BeatAt = now;
-  onSentNotices(id, beat.Sent);
-  onUses(follower, beat.Uses);
-  if (beat.Brief)
+  follower.ReceivedAt = now;
+  onSentNotices(id, heartbeat.Sent);
+  onUses(follower, heartbeat.Uses);
+  if (heartbeat.Brief)
     return;
-  follower.SentAtUs = beat.SentAtUs;
-  takeCrashes(beat.Crashes, follower.ToldCrashes);
-  follower.Load = {beat.RequestsPerSecond, beat.BytesPerSecond};
-  if (beat.KnownPositions.Operator && beat.KnownPositions.Replica) {
-    auto &knows = follower.Knows;
-    knows.Operator = std::max(knows.Operator, beat.KnownPositions.Operator);
-    knows.Replica = std::max(knows.Replica, beat.KnownPositions.Replica);
+  follower.SentAtUs = heartbeat.SentAtUs;
+  mergeCrashes(heartbeat.Crashes, follower.SentCrashes);
+  follower.Load = {heartbeat.RequestsPerSecond, heartbeat.BytesPerSecond};
+  if (heartbeat.KnownPositions.Operator && heartbeat.KnownPositions.Replica) {
+    auto &positions = follower.Positions;
+    positions.Operator =
+        std::max(positions.Operator, heartbeat.KnownPositions.Operator);
+    positions.Replica =
+        std::max(positions.Replica, heartbeat.KnownPositions.Replica);
   } else {
-    follower.Knows = {};
+    follower.Positions = {};
   }
-  bool woke = beat.Self.Active && !follower.Self.Active;
-  if (follower.Self != beat.Self) {
-    follower.Self = beat.Self;
+  bool becameActive = heartbeat.Self.Active && !follower.Self.Active;
+  if (follower.Self != heartbeat.Self) {
+    follower.Self = heartbeat.Self;
     NodesChanged = true;
   }
   follower.Running.clear();
-  for (const auto &it : beat.Running)
+  for (const auto &it : heartbeat.Running)
     follower.Running[it.Replica] = it.Running;
-  takeDemand(beat, now);
-  // It may have callers already.
-  if (woke && id != SelfFollower)
-    tell(id, follower);
+  takeDemand(heartbeat, now);
+  // The node may have callers already.
+  if (becameActive && id != SelfFollower)
+    sendHeartbeatTo(id, follower);
 }
 
-void CellMember::takeDemand(const NodeHeartbeat &beat, Instant now) {
-  bool waits = false;
-  for (const auto &it : beat.Demand) {
+void CellMember::takeDemand(const NodeHeartbeat &heartbeat, Instant now) {
+  bool hasWaiting = false;
+  for (const auto &it : heartbeat.Demand) {
     auto weights = WeightsRef::parse(it.Weights);
     if (it.Requests)
-      Desk.onDemand(it.Service, weights, it.Requests, now);
+      Planner.onDemand(it.Service, weights, it.Requests, now);
     if (it.Waiting)
-      Desk.onWaiting(it.Service, weights, now);
+      Planner.onWaiting(it.Service, weights, now);
     if (it.Congested)
-      Desk.onCongested(it.Service, weights, now);
-    waits = waits || it.Waiting;
+      Planner.onCongested(it.Service, weights, now);
+    hasWaiting = hasWaiting || it.Waiting;
   }
-  for (const auto &it : beat.Refusals) {
+  for (const auto &it : heartbeat.Refusals) {
     auto weights = WeightsRef::parse(it.Weights);
-    // The node has struck it out of its view, whatever turns out to be true.
-    Held.markChanged(it.Replica, weights);
+    // The node has removed it from its view, whether or not the replica has it.
+    Holdings.markChanged(it.Replica, weights);
     if (it.Missing)
-      Desk.onMissing(it.Replica, weights, now);
+      Planner.onMissing(it.Replica, weights, now);
     else
-      Desk.onRefusedEarly(it.Replica, weights, now);
+      Planner.onRefusedEarly(it.Replica, weights, now);
   }
-  if (waits)
+  if (hasWaiting)
     planSoon();
 }
 
 void CellMember::planSoon() {
   if (std::exchange(PlanDue, true))
     return;
-  Out.After(planEvery(), [this, alive = Alive] {
+  Callbacks.After(planInterval(), [this, alive = Alive] {
     if (!*alive)
       return;
     PlanDue = false;
     if (!Owning)
       return;
-    own();
+    runAsOwner();
     broadcast();
   });
 }
@@ -232,19 +236,20 @@
   for (const auto &[id, follower] : Followers)
     for (const auto &[replica, n] : follower.Running)
       TotalRunning[replica] += n;
-  for (const auto &it : Desk.replicas()) {
+  for (const auto &it : Planner.replicas()) {
     auto n = TotalRunning.find(it);
-    Desk.setRunning(it, n == TotalRunning.end() ? 0 : n->second);
+    Planner.setRunning(it, n == TotalRunning.end() ? 0 : n->second);
   }
 }
 
-bool CellMember::heard(std::uint64_t id, const Follower &follower,
-                       Instant now) const {
-  return id == SelfFollower || now - follower.BeatAt <= Setup.MemberSilence;
+bool CellMember::isResponsive(std::uint64_t id, const Follower &follower,
+                              Instant now) const {
+  return id == SelfFollower ||
+         now - follower.ReceivedAt <= Options.MemberTimeout;
 }
 
 void CellMember::chooseEntries(Instant now) {
-  if (now - OwnsSince < Setup.EntrySelectionDelay)
+  if (now - OwnsSince < Options.EntrySelectionDelay)
     return;
   NodesChanged = false;
   struct Domain {
@@ -253,26 +258,26 @@
   };
   std::map<std::string, Domain> domains;
   for (const auto &[id, it] : Followers) {
-    if (!it.Self.Ready || !heard(id, it, now))
+    if (!it.Self.Ready || !isResponsive(id, it, now))
       continue;
     auto &domain = domains[it.Self.FailureDomain];
     domain.Ready.push_back(
-        {it.Self.Node, it.Self.CallerAddress, meansOf(it.Self)});
+        {it.Self.Node, it.Self.CallerAddress, capacityOf(it.Self)});
     domain.Load += it.Load;
   }
   std::vector<DomainEntries> chosen;
   for (const auto &[name, domain] : domains) {
-    auto &chooser =
-        Choosers.try_emplace(name, Setup.EntrySelection).first->second;
-    chosen.push_back({name, chooser.choose(domain.Ready, domain.Load, now)});
+    auto &selector =
+        Selectors.try_emplace(name, Options.EntrySelection).first->second;
+    chosen.push_back({name, selector.choose(domain.Ready, domain.Load, now)});
   }
-  if (chosen == Rosters)
+  if (chosen == Entries)
     return;
-  Rosters = std::move(chosen);
-  ++RostersRevision;
-  for (const auto &it : Rosters)
+  Entries = std::move(chosen);
+  ++EntriesRevision;
+  for (const auto &it : Entries)
     Log.write(LogClass::State, "entries",
-              {{"cell", Setup.Cell},
+              {{"cell", Options.Cell},
                {"failure_domain", it.FailureDomain},
                {"in_service", static_cast<std::uint64_t>(it.Entries.size())},
                {"first", it.Entries.front().Node},
@@ -280,70 +285,71 @@
                              domains[it.FailureDomain].Ready.size())},
                {"requests_per_s", domains[it.FailureDomain].Load.Requests},
                {"bytes_per_s", domains[it.FailureDomain].Load.Bytes}});
-  Out.OnServingEntries();
+  Callbacks.OnServingEntries();
 }
 
-void CellMember::noteLeases() {
-  auto leases = Out.Leases();
+void CellMember::updateLeases() {
+  auto leases = Callbacks.Leases();
   if (leases == Leases)
     return;
   Leases = std::move(leases);
   ++LeasesRevision;
 }
 
-std::size_t CellMember::toldAtOnce() const {
+std::size_t CellMember::activeFollowers() const {
   std::size_t out = 0;
   for (const auto &[id, follower] : Followers)
     out += id != SelfFollower && follower.Self.Active ? 1 : 0;
   return out;
 }
 
-Span CellMember::flushEvery() const {
-  auto n = static_cast<int>(Owning ? toldAtOnce() : 0);
-  return std::max(Setup.FlushEvery, Setup.FlushEach * n);
+Span CellMember::flushInterval() const {
+  auto n = static_cast<int>(Owning ? activeFollowers() : 0);
+  return std::max(Options.FlushInterval, Options.FlushPerFollower * n);
 }
 
-Span CellMember::planEvery() const {
-  return std::max(Setup.PlanEvery,
-                  Setup.PlanEach * static_cast<int>(toldAtOnce()));
+Span CellMember::planInterval() const {
+  return std::max(Options.PlanInterval,
+                  Options.PlanPerFollower *
+                      static_cast<int>(activeFollowers()));
 }
 
 void CellMember::onSentNotices(std::uint64_t from,
                                const std::vector<SentNotice> &sent) {
   if (sent.empty())
     return;
-  Followers[from].HasSent = true;
+  Followers[from].HasPendingSent = true;
   auto now = TimerService::now();
   for (const auto &it : sent) {
-    SentToTell.emplace_back(from, it);
+    PendingSent.emplace_back(from, it);
     if (from != SelfFollower)
       View.onSentElsewhere(it.Replica, it.Tokens, now);
   }
   flushSoon();
 }
 
-void CellMember::noteHoldings() {
-  if (NotedRevision == Desk.revision())
+void CellMember::recordHoldings() {
+  if (RecordedRevision == Planner.revision())
     return;
-  NotedRevision = Desk.revision();
-  auto before = Held.revision();
-  for (const auto &replica : Desk.replicas()) {
-    const auto &held = Desk.residency(replica);
-    if (Held.update(replica, held))
+  RecordedRevision = Planner.revision();
+  auto before = Holdings.revision();
+  for (const auto &replica : Planner.replicas()) {
+    const auto &held = Planner.residency(replica);
+    if (Holdings.update(replica, held))
       View.onResidency(replica, held, TimerService::now());
   }
-  Held.commit();
-  if (Held.revision() == before)
+  Holdings.commit();
+  if (Holdings.revision() == before)
     return;
   flushSoon();
-  Out.OnChanged();
+  Callbacks.OnChanged();
 }
 
 std::vector<ReplicaNotice>
 CellMember::holdingsSince(std::uint64_t number) const {
   auto now = TimerService::now();
   std::vector<ReplicaNotice> out;
-  for (const auto &change : Held.since(number)) {
+  for (const auto &change : Holdings.since(number)) {
     ReplicaNotice notice{change.Replica, change.Complete, {}, {}};
     for (const auto &[weights, at] : change.Held)
       notice.Held.push_back({weights.text(), at.Version,
@@ -356,7 +362,7 @@
   return out;
 }
 
-OwnerHeartbeat CellMember::emptyBeat() const {
+OwnerHeartbeat CellMember::newOwnerHeartbeat() const {
   OwnerHeartbeat out;
   out.LeaseVersion = Lease->version();
   out.RemainingUs = Lease->remaining().count();
@@ -365,47 +371,48 @@
   return out;
 }
 
-void CellMember::tellFollowers() {
-  noteHoldings();
-  auto sent = std::exchange(SentToTell, {});
-  // Most followers hear the same, which is packed once.
+void CellMember::sendNotices() {
+  recordHoldings();
+  auto sent = std::exchange(PendingSent, {});
+  // Most followers are sent the same notice, which is packed once.
   std::map<std::uint64_t, std::string> packed;
   for (auto &[id, follower] : Followers) {
-    bool own = std::exchange(follower.HasSent, false);
-    bool behind = follower.ToldHoldings < Held.revision();
-    bool waits = id == SelfFollower || !follower.Self.Active;
-    if (waits || (sent.empty() && !behind))
+    bool own = std::exchange(follower.HasPendingSent, false);
+    bool isBehind = follower.SentHoldings < Holdings.revision();
+    bool isSkipped = id == SelfFollower || !follower.Self.Active;
+    if (isSkipped || (sent.empty() && !isBehind))
       continue;
-    auto told = std::exchange(follower.ToldHoldings, Held.revision());
-    auto &same = packed[told];
-    if (!own && !same.empty()) {
-      sendTo(follower, PeerMessage::OwnerNotice, same);
+    auto sentRevision =
+        std::exchange(follower.SentHoldings, Holdings.revision());
+    auto &shared = packed[sentRevision];
+    if (!own && !shared.empty()) {
+      sendTo(follower, PeerMessage::OwnerNotice, shared);
       continue;
     }
-    auto brief = emptyBeat();
-    brief.Replicas = holdingsSince(told);
+    auto brief = newOwnerHeartbeat();
+    brief.Replicas = holdingsSince(sentRevision);
     for (const auto &[from, notice] : sent)
       if (from != id)
         brief.Sent.push_back(notice);
     auto text = pack(brief);
     sendTo(follower, PeerMessage::OwnerNotice, text);
     if (!own)
-      same = std::move(text);
+      shared = std::move(text);
   }
 }
 
-OwnerHeartbeat CellMember::beatFor(Follower &follower) {
-  auto out = emptyBeat();
+OwnerHeartbeat CellMember::heartbeatFor(Follower &follower) {
+  auto out = newOwnerHeartbeat();
   if (!follower.Self.Active)
     return out;
   out.Replicas =
-      holdingsSince(std::exchange(follower.ToldHoldings, Held.revision()));
-  for (const auto &replica : Desk.replicas()) {
+      holdingsSince(std::exchange(follower.SentHoldings, Holdings.revision()));
+  for (const auto &replica : Planner.replicas()) {
     auto total = TotalRunning.find(replica);
     auto own = follower.Running.find(replica);
     std::uint32_t n = total == TotalRunning.end() ? 0 : total->second;
     n -= own == follower.Running.end() ? 0 : std::min(n, own->second);
-    auto [it, isNew] = follower.ToldRunning.try_emplace(replica, 0);
+    auto [it, isNew] = follower.SentRunning.try_emplace(replica, 0);
     if (it->second == n)
       continue;
     it->second = n;
@@ -414,44 +421,49 @@
   return out;
 }
 
-void CellMember::addNews(Follower &follower, OwnerHeartbeat &beat) {
-  if (!follower.Knows.Operator || !follower.Knows.Replica)
+void CellMember::addRegistryUpdate(Follower &follower,
+                                   OwnerHeartbeat &heartbeat) {
+  if (!follower.Positions.Operator || !follower.Positions.Replica)
     return;
-  beat.Update = Out.UpdateSince(follower.Knows);
-  auto &knows = follower.Knows;
-  knows.Operator = std::max(knows.Operator, beat.Update.OperatorPosition);
-  knows.Replica = std::max(knows.Replica, beat.Update.ReplicaPosition);
+  heartbeat.Update = Callbacks.UpdateSince(follower.Positions);
+  auto &positions = follower.Positions;
+  positions.Operator =
+      std::max(positions.Operator, heartbeat.Update.OperatorPosition);
+  positions.Replica =
+      std::max(positions.Replica, heartbeat.Update.ReplicaPosition);
 }
 
 bool CellMember::isBetterOwner(const MemberNotice &member) const {
-  bool near = Setup.Cell == Setup.FailureDomain;
-  if (!member.Ready || member.FailureDomain != Setup.Cell)
+  bool near = Options.Cell == Options.FailureDomain;
+  if (!member.Ready || member.FailureDomain != Options.Cell)
     return false;
-  auto own = relativeCapacity(meansOf(Out.Self()));
-  return !near || relativeCapacity(meansOf(member)) >= MuchStronger * own;
+  auto own = relativeCapacity(capacityOf(Callbacks.Self()));
+  return !near ||
+         relativeCapacity(capacityOf(member)) >= MinCapacityRatio * own;
 }
 
 void CellMember::handOverIfBetter(Instant now) {
-  bool better = std::any_of(
-      Followers.begin(), Followers.end(), [this, now](const auto &it) {
-        return heard(it.first, it.second, now) && isBetterOwner(it.second.Self);
-      });
+  bool better = std::any_of(Followers.begin(), Followers.end(),
+                            [this, now](const auto &it) {
+                              return isResponsive(it.first, it.second, now) &&
+                                     isBetterOwner(it.second.Self);
+                            });
   if (!better) {
-    NearerSince.reset();
+    BetterOwnerSince.reset();
     return;
   }
-  if (!NearerSince)
-    NearerSince = now;
-  if (now - *NearerSince < Setup.NearerReady)
+  if (!BetterOwnerSince)
+    BetterOwnerSince = now;
+  if (now - *BetterOwnerSince < Options.BetterOwnerDelay)
     return;
-  NearerSince.reset();
+  BetterOwnerSince.reset();
   Lease->handOver();
 }
 
-void CellMember::forgetSilent(Instant now) {
+void CellMember::removeExpiredFollowers(Instant now) {
   for (auto it = Followers.begin(); it != Followers.end();) {
-    bool gone =
-        it->first != SelfFollower && now - it->second.BeatAt > Setup.MemberGone;
+    bool gone = it->first != SelfFollower &&
+                now - it->second.ReceivedAt > Options.MemberExpiry;
     if (gone)
       dropUses(it->second);
     it = gone ? Followers.erase(it) : std::next(it);
@@ -460,60 +472,61 @@
 
 void CellMember::broadcast() {
   auto now = TimerService::now();
-  bool due = now - BroadcastAt >= Setup.HeartbeatInterval;
-  auto rosters = RostersRevision;
+  bool due = now - BroadcastAt >= Options.HeartbeatInterval;
+  auto entriesRevision = EntriesRevision;
   if (due || NodesChanged)
     chooseEntries(now);
   if (due) {
     BroadcastAt = now;
     countRunning();
-    forgetSilent(now);
-    noteLeases();
+    removeExpiredFollowers(now);
+    updateLeases();
     handOverIfBetter(now);
   }
-  noteHoldings();
-  bool news = std::exchange(NewsDue, false);
-  if (!due && !news && rosters == RostersRevision)
+  recordHoldings();
+  bool hasUpdate = std::exchange(UpdateDue, false);
+  if (!due && !hasUpdate && entriesRevision == EntriesRevision)
     return;
   for (auto &[id, follower] : Followers)
-    tell(id, follower);
+    sendHeartbeatTo(id, follower);
 }
 
-void CellMember::tell(std::uint64_t id, Follower &follower) {
-  auto beat = beatFor(follower);
-  // What the owner itself chose and saw it knows already.
+void CellMember::sendHeartbeatTo(std::uint64_t id, Follower &follower) {
+  auto heartbeat = heartbeatFor(follower);
+  // The owner has its own choices and registry changes already.
   if (id == SelfFollower)
-    return onOwnerBeat(beat);
-  addNews(follower, beat);
-  beat.AnswersUs = follower.SentAtUs;
-  beat.Crashes = crashesFor(follower.ToldCrashes);
-  if (std::exchange(follower.ToldRosters, RostersRevision) != RostersRevision)
-    addRosters(beat);
-  bool near = follower.Self.FailureDomain == Setup.FailureDomain;
+    return onOwnerHeartbeat(heartbeat);
+  addRegistryUpdate(follower, heartbeat);
+  heartbeat.EchoedSentAtUs = follower.SentAtUs;
+  heartbeat.Crashes = takeUnsentCrashes(follower.SentCrashes);
+  if (std::exchange(follower.SentEntries, EntriesRevision) != EntriesRevision)
+    addEntries(heartbeat);
+  bool near = follower.Self.FailureDomain == Options.FailureDomain;
   if (near &&
-      std::exchange(follower.ToldLeases, LeasesRevision) != LeasesRevision)
-    beat.Leases = Leases;
-  sendTo(follower, PeerMessage::OwnerBeat, pack(beat));
+      std::exchange(follower.SentLeases, LeasesRevision) != LeasesRevision)
+    heartbeat.Leases = Leases;
+  sendTo(follower, PeerMessage::OwnerHeartbeat, pack(heartbeat));
 }
 
 void CellMember::sendTo(Follower &follower, PeerMessage kind,
                         const std::string &text) {
-  // Between finding that the lease is lost and the next tick this node knows
-  // the next holder's version, and would tell it as if its time were over.
+  // Between the loss of the lease and the next tick, `Lease` has the next
+  // holder's version and no remaining time. Followers that received it would
+  // take the new holder's lease as expired.
   if (!Lease->held())
     return;
-  bool near = follower.Self.FailureDomain == Setup.FailureDomain;
+  bool near = follower.Self.FailureDomain == Options.FailureDomain;
   Traffic.add(kind, near, text.size());
   follower.Stream->send(text);
 }
 
-void CellMember::addRosters(OwnerHeartbeat &beat) const {
-  beat.EntriesChanged = true;
-  for (const auto &domain : Rosters) {
+void CellMember::addEntries(OwnerHeartbeat &heartbeat) const {
+  heartbeat.EntriesChanged = true;
+  for (const auto &domain : Entries) {
     DomainNotice notice{domain.FailureDomain, {}};
     for (const auto &it : domain.Entries)
       notice.Entries.push_back({it.Node, it.CallerAddress});
-    beat.Entries.push_back(std::move(notice));
+    heartbeat.Entries.push_back(std::move(notice));
   }
 }
 
--- a/Programs/hemlockgladed/Gateway/CrashCoordinator.cpp
+++ b/Programs/hemlockgladed/Gateway/CrashCoordinator.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Records that a row of the table holds: some 200 bytes each.
-constexpr std::size_t MostNotes = 24;
-/// Ends from which on a record is worth a place in a row.
-constexpr std::size_t NotedEnds = 2;
-/// A process that is about to end, or whose listener outlives its connections
-/// for a moment, has ended by then.
-constexpr Span LookAgainAfter = std::chrono::milliseconds(300);
-
-BrokenAttempt lostNow(const ReplicaRecord &replica, const RequestKey &key,
-                      Instant sentAt, std::optional<Instant> beganAt) {
+/// Records in a row of the table: some 200 bytes each.
+constexpr std::size_t MaxNotes = 24;
+/// Minimum number of ends for a record to be stored in the row.
+constexpr std::size_t MinNotedEnds = 2;
+/// Delay of the second probe. A process that is about to end, or whose listener
+/// outlives its connections for a moment, has ended by then.
+constexpr Span ReprobeDelay = std::chrono::milliseconds(300);
+
+BrokenAttempt brokenAttempt(const ReplicaRecord &replica, const RequestKey &key,
+                            Instant sentAt, std::optional<Instant> beganAt) {
   return {key,     replica.Incarnation, replica.FailureDomain, sentAt,
           beganAt, TimerService::now()};
 }
@@ -26,157 +26,159 @@
 void CrashCoordinator::onBroken(const ReplicaRecord &replica,
                                 const RequestKey &key, Instant sentAt,
                                 std::optional<Instant> beganAt) {
-  take(replica.Incarnation.text(),
-       Watch.onBroken(lostNow(replica, key, sentAt, beganAt)));
-  if (Watch.needsProbe(replica.Incarnation))
-    look(replica, false);
+  recordEnds(replica.Incarnation.text(),
+             Detector.onBroken(brokenAttempt(replica, key, sentAt, beganAt)));
+  if (Detector.needsProbe(replica.Incarnation))
+    probe(replica, false);
 }
 
 void CrashCoordinator::onGivenUp(const ReplicaRecord &replica,
                                  const RequestKey &key, Instant sentAt,
                                  std::optional<Instant> beganAt) {
-  take(replica.Incarnation.text(),
-       Watch.onBroken(lostNow(replica, key, sentAt, beganAt)));
-  if (Watch.needsProbe(replica.Incarnation))
-    lookLater(replica);
-}
-
-void CrashCoordinator::look(const ReplicaRecord &replica, bool again) {
-  Out.Probe(replica.Address,
-            [this, alive = Alive, replica, again](Listening how) {
-              if (!*alive || how == Listening::Unknown)
-                return;
-              if (how == Listening::Yes) {
-                Watch.onListening(replica.Incarnation);
-                if (!again && Watch.needsProbe(replica.Incarnation))
-                  lookLater(replica);
-                return;
-              }
-              ++Ended;
-              onEnded(replica.Incarnation);
-            });
-}
-
-void CrashCoordinator::lookLater(const ReplicaRecord &replica) {
-  Out.After(LookAgainAfter, [this, alive = Alive, replica] {
+  recordEnds(replica.Incarnation.text(),
+             Detector.onBroken(brokenAttempt(replica, key, sentAt, beganAt)));
+  if (Detector.needsProbe(replica.Incarnation))
+    probeLater(replica);
+}
+
+void CrashCoordinator::probe(const ReplicaRecord &replica, bool isRetry) {
+  Callbacks.Probe(replica.Address,
+                  [this, alive = Alive, replica, isRetry](Listening result) {
+                    if (!*alive || result == Listening::Unknown)
+                      return;
+                    if (result == Listening::Yes) {
+                      Detector.onListening(replica.Incarnation);
+                      if (!isRetry && Detector.needsProbe(replica.Incarnation))
+                        probeLater(replica);
+                      return;
+                    }
+                    ++Ended;
+                    onEnded(replica.Incarnation);
+                  });
+}
+
+void CrashCoordinator::probeLater(const ReplicaRecord &replica) {
+  Callbacks.After(ReprobeDelay, [this, alive = Alive, replica] {
     if (*alive)
-      look(replica, true);
+      probe(replica, true);
   });
 }
 
-void CrashCoordinator::onEnded(const ReplicaIncarnation &life) {
-  take(life.text(), Watch.onEnded(life, TimerService::now()));
+void CrashCoordinator::onEnded(const ReplicaIncarnation &incarnation) {
+  recordEnds(incarnation.text(),
+             Detector.onEnded(incarnation, TimerService::now()));
 }
 
 void CrashCoordinator::onRemoved(const std::string &id) {
-  take(id, Watch.onRemoved(id, TimerService::now()));
+  recordEnds(id, Detector.onRemoved(id, TimerService::now()));
 }
 
-void CrashCoordinator::take(std::string_view replica,
-                            const std::vector<SuspectCrash> &ends) {
+void CrashCoordinator::recordEnds(std::string_view replica,
+                                  const std::vector<SuspectCrash> &ends) {
   auto now = TimerService::now();
-  bool news = false;
+  bool changed = false;
   for (const auto &it : ends) {
-    bool wasBarred = Book.barredFor(it.Key, now).has_value();
-    if (!Book.onEnd(it.Key, it.Crash, now))
+    bool wasBarred = Tracker.barredFor(it.Key, now).has_value();
+    if (!Tracker.onEnd(it.Key, it.Crash, now))
       continue;
-    news = true;
-    Log.write(LogClass::State, "ended-under",
-              {{"key", it.Key.text()},
-               {"replica", replica},
-               {"sent_ms_ago", now - it.Crash.SentAt},
-               {"ended_ms_ago", now - it.Crash.EndedAt},
-               {"suspects", static_cast<std::uint64_t>(ends.size())},
-               {"ends", static_cast<std::uint64_t>(Book.crashesOf(it.Key))}});
-    note(it.Key, wasBarred, "seen here");
+    changed = true;
+    Log.write(
+        LogClass::State, "ended-under",
+        {{"key", it.Key.text()},
+         {"replica", replica},
+         {"sent_ms_ago", now - it.Crash.SentAt},
+         {"ended_ms_ago", now - it.Crash.EndedAt},
+         {"suspects", static_cast<std::uint64_t>(ends.size())},
+         {"ends", static_cast<std::uint64_t>(Tracker.crashesOf(it.Key))}});
+    reportBarring(it.Key, wasBarred, "seen here");
   }
-  if (news)
-    Out.OnUpdate();
+  if (changed)
+    Callbacks.OnUpdate();
 }
 
-void CrashCoordinator::note(const RequestKey &key, bool wasBarred,
-                            std::string_view from) {
-  auto barred = Book.barredFor(key, TimerService::now());
+void CrashCoordinator::reportBarring(const RequestKey &key, bool wasBarred,
+                                     std::string_view from) {
+  auto barred = Tracker.barredFor(key, TimerService::now());
   if (barred.has_value() == wasBarred)
     return;
   Log.write(LogClass::State, barred ? "request-barred" : "request-let-go",
             {{"key", key.text()},
              {"from", from},
-             {"ends", static_cast<std::uint64_t>(Book.crashesOf(key))},
+             {"ends", static_cast<std::uint64_t>(Tracker.crashesOf(key))},
              {"for_ms", barred.value_or(Span(0))}});
   if (barred)
-    Out.OnBarred(key);
+    Callbacks.OnBarred(key);
 }
 
 void CrashCoordinator::onServed(const RequestKey &key) {
   auto now = TimerService::now();
-  auto ends = Book.crashesOf(key);
-  if (!Book.onServed(key, now))
+  auto ends = Tracker.crashesOf(key);
+  if (!Tracker.onServed(key, now))
     return;
   Log.write(LogClass::State, "request-cleared",
             {{"key", key.text()},
              {"why", "it ran to its end"},
              {"ends", static_cast<std::uint64_t>(ends)}});
-  Out.OnUpdate();
+  Callbacks.OnUpdate();
 }
 
 void CrashCoordinator::onSent(const RequestKey &key) {
-  Book.onSent(key, TimerService::now());
+  Tracker.onSent(key, TimerService::now());
 }
 
 std::optional<Span> CrashCoordinator::barredFor(const RequestKey &key) const {
-  return Book.barredFor(key, TimerService::now());
+  return Tracker.barredFor(key, TimerService::now());
 }
 
-void CrashCoordinator::takeRecords(const std::vector<CrashRecord> &records,
-                                   std::string_view from) {
+void CrashCoordinator::mergeRecords(const std::vector<CrashRecord> &records,
+                                    std::string_view from) {
   auto now = TimerService::now();
-  bool news = false;
+  bool changed = false;
   for (const auto &it : records) {
-    bool wasBarred = Book.barredFor(it.Key, now).has_value();
-    if (!Book.merge(it, now))
+    bool wasBarred = Tracker.barredFor(it.Key, now).has_value();
+    if (!Tracker.merge(it, now))
       continue;
-    news = true;
-    note(it.Key, wasBarred, from);
+    changed = true;
+    reportBarring(it.Key, wasBarred, from);
   }
-  if (news)
-    Out.OnUpdate();
+  if (changed)
+    Callbacks.OnUpdate();
 }
 
-void CrashCoordinator::onPeerRecords(const std::vector<CrashNotice> &told) {
+void CrashCoordinator::onPeerRecords(const std::vector<CrashNotice> &notices) {
   auto now = TimerService::now();
   std::vector<CrashRecord> records;
-  for (const auto &it : told)
+  for (const auto &it : notices)
     if (auto record = recordOf(it, now))
       records.push_back(std::move(*record));
-  takeRecords(records, "told by a node");
+  mergeRecords(records, "told by a node");
 }
 
 std::vector<CrashNotice> CrashCoordinator::since(std::uint64_t number) const {
   auto now = TimerService::now();
   std::vector<CrashNotice> out;
-  for (const auto &it : Book.since(number))
+  for (const auto &it : Tracker.since(number))
     out.push_back(noticeOf(it, now));
   return out;
 }
 
 std::string CrashCoordinator::notes() const {
-  auto records = Book.since(0);
+  auto records = Tracker.since(0);
   std::erase_if(records, [this](const auto &it) {
-    return Book.crashesOf(it.Key) < NotedEnds;
+    return Tracker.crashesOf(it.Key) < MinNotedEnds;
   });
-  return encodeCrashRecords(records, MostNotes, TimerService::now());
+  return encodeCrashRecords(records, MaxNotes, TimerService::now());
 }
 
 void CrashCoordinator::onNotes(const std::string &notes) {
-  takeRecords(decodeCrashRecords(notes, TimerService::now()),
-              "kept with a lease");
+  mergeRecords(decodeCrashRecords(notes, TimerService::now()),
+               "kept with a lease");
 }
 
 void CrashCoordinator::removeExpired() {
   auto now = TimerService::now();
-  Watch.removeExpired(now);
-  Book.removeExpired(now);
+  Detector.removeExpired(now);
+  Tracker.removeExpired(now);
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/Gateway.cpp
+++ b/Programs/hemlockgladed/Gateway/Gateway.cpp
@@ -12,44 +12,45 @@
 namespace {
 
 constexpr auto TickPeriod = std::chrono::milliseconds(50);
-/// Time after which a node that has heard nothing from the registry asks a
+/// Time after which a node that has received nothing from the registry asks a
 /// peer, and then the next: the registry answers in some 10 ms.
 constexpr auto BriefingPeriod = std::chrono::milliseconds(300);
 constexpr auto RefreshPeriod = std::chrono::seconds(1);
 /// How long a weak host that starts waits for what others know before it reads
 /// the registry itself: of many that start together few need to.
-constexpr auto FirstLookAfter = std::chrono::milliseconds(2000);
+constexpr auto FirstPollDelay = std::chrono::milliseconds(2000);
 constexpr auto UsagePeriod = std::chrono::seconds(10);
 /// How much longer than the cell's own hosts others leave a free lease alone.
-constexpr auto FarReluctance = std::chrono::milliseconds(700);
-/// The same of a weak host towards strong ones: a look at the lease row comes
-/// each 50 ms, so that one that looks at the same time surely is first.
-constexpr auto WeakReluctance = std::chrono::milliseconds(350);
-/// What an owner of a large cell needs beside callers; with much less its
-/// followers' messages keep it from the registry.
+constexpr auto FarTakeoverDelay = std::chrono::milliseconds(700);
+/// The same for a weak host compared with strong ones: the lease row is read
+/// every 50 ms, so that a strong host that polls at the same time is certain to
+/// be first.
+constexpr auto WeakTakeoverDelay = std::chrono::milliseconds(350);
+/// What an owner of a large cell needs besides the load of callers; with much
+/// less, its followers' messages keep it from the registry.
 constexpr double StrongCores = 0.25;
 constexpr double StrongMbps = 100;
-/// Time before the bound of a stop at which what still runs is cut, so that the
+/// Time before the bound of a stop at which open requests are cut, so that the
 /// process ends by itself.
 constexpr auto StopMargin = std::chrono::milliseconds(250);
-/// How a stop goes on, as shares of its bound. Callers that hold this address
-/// come for a while; a generation that starts after the first share might not
-/// end in time, a plain request not after the second. From the third on nobody
-/// should hold the address any more.
-constexpr double LastGeneration = 0.28;
-constexpr double LastPlain = 0.75;
-constexpr double QuietFrom = 0.42;
+/// Phases of a stop, as shares of its bound. Callers that hold this address
+/// keep sending for a while; a generation that starts after the first share
+/// might not end in time, a plain request not after the second. From the third
+/// on no caller should hold the address any more.
+constexpr double LastGenerationShare = 0.28;
+constexpr double LastPlainShare = 0.75;
+constexpr double QuietShare = 0.42;
 /// A request that waits for a replica when the stop begins is refused after
-/// this, while it still has time to go elsewhere.
-constexpr auto LeavingHold = std::chrono::milliseconds(1000);
-constexpr auto LeavingRetry = std::chrono::milliseconds(20);
-constexpr auto StopLook = std::chrono::milliseconds(50);
-/// When to come back to a node that knows no plan yet: it has read one after
-/// some 10 ms, or waits for a registry that is away, mostly for seconds.
+/// this, while there is still time to send it to another node.
+constexpr auto StopHold = std::chrono::milliseconds(1000);
+constexpr auto StopRetry = std::chrono::milliseconds(20);
+constexpr auto StopPollInterval = std::chrono::milliseconds(50);
+/// Retry-After of a node that has no plan yet: it has read one after some 10
+/// ms, or waits for a registry that is unreachable, mostly for seconds.
 constexpr auto StartingRetry = std::chrono::milliseconds(300);
-constexpr auto AwayRetry = std::chrono::milliseconds(2000);
+constexpr auto UnreachableRetry = std::chrono::milliseconds(2000);
 
-SharedRetryBudget::Settings budgetOf(const GatewaySettings &settings) {
+SharedRetryBudget::Settings retryBudgetOf(const GatewaySettings &settings) {
   SharedRetryBudget::Settings out;
   out.RetriesPerRequest = settings.RepeatShare;
   out.FixedRetries = settings.RepeatExtra;
@@ -57,12 +58,12 @@
   return out;
 }
 
-/// Nodes that stand by look at leases at different times.
-Span standbySpread(const std::string &node) {
-  constexpr Span Most = std::chrono::milliseconds(1000);
+/// Spreads the times at which standby nodes read lease rows.
+Span standbyJitter(const std::string &node) {
+  constexpr Span MaxJitter = std::chrono::milliseconds(1000);
   return Span(
       static_cast<std::int64_t>(std::hash<std::string>{}(node) %
-                                static_cast<std::uint64_t>(Most.count())));
+                                static_cast<std::uint64_t>(MaxJitter.count())));
 }
 
 std::string newIncarnation() {
@@ -84,7 +85,7 @@
       Timers(context), View([this] {
         auto out = Settings.Decisions.Route;
         out.FailureDomain = Settings.FailureDomain;
-        // What lies between the two is left for requests that wait at engines.
+        // The time between the two is for requests that wait at engines.
         constexpr double GraceShare = 0.66;
         out.OldVersionGrace = scaled(Settings.VersionBound, GraceShare);
         constexpr double EndShare = 0.84;
@@ -94,11 +95,12 @@
             LapseShare * static_cast<double>(Settings.DrainBound.count())));
         return out;
       }()),
-      Budget(budgetOf(Settings)), Pool(context, HttpPool::Settings{}),
-      Crashes(crashLinkHooks(), Log),
+      Budget(retryBudgetOf(Settings)), Pool(context, HttpPool::Settings{}),
+      Crashes(crashCoordinatorHooks(), Log),
       Quotas(Settings.FailureDomains, Settings.FailureDomain, Settings.Quota,
              quotaHooks(), Traffic, Log),
-      Shared(exchangeContext()), ExchangeSetup(Settings.Decisions.Exchange),
+      SharedContext(exchangeContext()),
+      ExchangeOptions(Settings.Decisions.Exchange),
       NextSeed(std::hash<std::string>{}(Settings.Name)) {}
 
 Gateway::~Gateway() {
@@ -118,7 +120,7 @@
         onDemand(service, weights, waiting);
       },
       [this](const std::string &service, const WeightsRef &weights) {
-        if (auto *home = homeOf(weights))
+        if (auto *home = homeCellOf(weights))
           home->onCongested(service, weights);
       },
       [this](const ReplicaRecord &replica, const auto &weights, bool missing) {
@@ -145,7 +147,7 @@
       [this](const GatewayExchange &exchange) { onEnd(exchange); },
       crashHooks(),
       limitHooks(),
-      &Turns};
+      &Queue};
 }
 
 void Gateway::start() {
@@ -157,22 +159,22 @@
     onReplicas(changes, unreachable);
   };
   hooks.InformsPeers = [this] { return ownsCells(); };
-  hooks.StandsBy = [this] { return !Awake; };
+  hooks.StandsBy = [this] { return !Active; };
   hooks.OnUpdate = [this] {
     for (auto &[name, cell] : Cells)
       cell->onRegistryUpdate();
   };
-  RegistryWatcher::Settings watch;
-  watch.Poll = Settings.lookPace();
-  Watch = std::make_unique<RegistryWatcher>(Timers, Port.Registry, watch,
-                                            std::move(hooks), Log);
-  bool first = strong() || isSeed() || Settings.Seeds.empty();
-  Watch->start(first ? Span(0) : Span(FirstLookAfter));
-  askPeer();
+  RegistryWatcher::Settings pollOptions;
+  pollOptions.Poll = Settings.lookPace();
+  Watcher = std::make_unique<RegistryWatcher>(
+      Timers, Port.Registry, pollOptions, std::move(hooks), Log);
+  bool first = isStrongHost() || isSeed() || Settings.Seeds.empty();
+  Watcher->start(first ? Span(0) : Span(FirstPollDelay));
+  requestBriefing();
   Subscriptions.push_back(
       Timers.every(TickPeriod, [this](Instant) { tick(); }));
   Subscriptions.push_back(
-      Timers.every(BriefingPeriod, [this](Instant) { askPeer(); }));
+      Timers.every(BriefingPeriod, [this](Instant) { requestBriefing(); }));
   Subscriptions.push_back(
       Timers.every(RefreshPeriod, [this](Instant) { refresh(); }));
   Subscriptions.push_back(
@@ -189,24 +191,24 @@
       std::make_unique<PeerNet>(Context, Settings.Address, Settings.PeerPort,
                                 [this](const auto &stream) { onPeer(stream); });
   Quotas.attach(*Peers);
-  std::uint32_t turn = 0;
+  std::uint32_t cellIndex = 0;
   for (const auto &cell : Settings.FailureDomains) {
-    CellMember::Settings setup;
-    setup.Cell = cell;
-    setup.FailureDomain = Settings.FailureDomain;
-    setup.Lease.Holder = Settings.Name;
-    setup.Lease.Incarnation = Incarnation;
-    setup.Lease.Address =
+    CellMember::Settings options;
+    options.Cell = cell;
+    options.FailureDomain = Settings.FailureDomain;
+    options.Lease.Holder = Settings.Name;
+    options.Lease.Incarnation = Incarnation;
+    options.Lease.Address =
         Settings.Address + ":" + std::to_string(Peers->port());
-    setup.Lease.Handover = Settings.Handover;
-    setup.Placement = Settings.Decisions.Desk;
-    setup.Placement.CellCount =
+    options.Lease.Handover = Settings.Handover;
+    options.Placement = Settings.Decisions.Desk;
+    options.Placement.CellCount =
         static_cast<std::uint32_t>(Settings.FailureDomains.size());
-    setup.Placement.CellIndex = turn++;
-    setup.TakeoverDelay = reluctance(cell);
-    setup.StandbySpread = standbySpread(Settings.Name);
+    options.Placement.CellIndex = cellIndex++;
+    options.TakeoverDelay = takeoverDelay(cell);
+    options.StandbyJitter = standbyJitter(Settings.Name);
     Cells[cell] = std::make_unique<CellMember>(
-        std::move(setup), memberHooks(cell), View, *Peers, Traffic, Log);
+        std::move(options), memberHooks(cell), View, *Peers, Traffic, Log);
   }
 }
 
@@ -223,38 +225,38 @@
     Timers.after(delay, [call = std::move(call)](Instant) { call(); });
   };
   hooks.KnownPositions = [this, cell] {
-    const auto *from = newsFrom();
-    bool its = from && from->cell() == cell;
-    return its ? Watch->positions() : RegistryPositions{};
+    const auto *from = updateSource();
+    bool isSource = from && from->cell() == cell;
+    return isSource ? Watcher->positions() : RegistryPositions{};
   };
   hooks.UpdateSince = [this](const RegistryPositions &known) {
-    return Watch->updateSince(known);
+    return Watcher->updateSince(known);
   };
-  hooks.OnUpdate = [this](const RegistryUpdate &news, Instant sentAfter) {
-    Watch->onPeerUpdate(news, sentAfter);
+  hooks.OnUpdate = [this](const RegistryUpdate &update, Instant sentAfter) {
+    Watcher->onPeerUpdate(update, sentAfter);
   };
-  hooks.Leases = [this, cell] { return leasesBut(cell); };
+  hooks.Leases = [this, cell] { return leasesExcept(cell); };
   hooks.OnLease = [this](const std::string &of, const std::string &text) {
     auto it = Cells.find(of);
     auto row = CellLeaseRow::parse(text);
     if (it != Cells.end() && row)
       it->second->onPeerRow(*row);
   };
-  hooks.OnServingEntries = [this] { onRosters(); };
+  hooks.OnServingEntries = [this] { updateServingEntries(); };
   hooks.Crashes = &Crashes;
   return hooks;
 }
 
-bool Gateway::strong() const {
+bool Gateway::isStrongHost() const {
   return Settings.Cores >= StrongCores && Settings.LinkMbps >= StrongMbps;
 }
 
-Span Gateway::reluctance(const std::string &cell) const {
-  Span out = strong() ? Span(0) : Span(WeakReluctance);
-  return cell == Settings.FailureDomain ? out : out + FarReluctance;
+Span Gateway::takeoverDelay(const std::string &cell) const {
+  Span out = isStrongHost() ? Span(0) : Span(WeakTakeoverDelay);
+  return cell == Settings.FailureDomain ? out : out + FarTakeoverDelay;
 }
 
-bool Gateway::ready() const { return Plan && SeenReplicas && !Leaving; }
+bool Gateway::ready() const { return Plan && HasReplicas && !Stopping; }
 
 void Gateway::onOperator(const OperatorChanges &changes) {
   if (changes.Plan && (!Plan || changes.Plan->version() > Plan->version())) {
@@ -277,21 +279,21 @@
   wakeWaiting();
 }
 
-void Gateway::onVersion(const WeightsVersion &named) {
-  auto before = View.versions().newest(named.Weights);
-  if (!View.onVersion(named))
+void Gateway::onVersion(const WeightsVersion &declaration) {
+  auto before = View.versions().newest(declaration.Weights);
+  if (!View.onVersion(declaration))
     return;
   Log.write(LogClass::State, "weights-version",
-            {{"weights", named.Weights.text()},
-             {"version", named.Version},
+            {{"weights", declaration.Weights.text()},
+             {"version", declaration.Version},
              {"before", before},
-             {"named_ms_ago", TimerService::now() - named.NotBefore}});
-  if (named.Version > before)
+             {"named_ms_ago", TimerService::now() - declaration.NotBefore}});
+  if (declaration.Version > before)
     for (auto &[name, cell] : Cells)
-      cell->onVersion(named.Weights, named.Version);
+      cell->onVersion(declaration.Weights, declaration.Version);
   auto open = Exchanges;
   for (const auto &it : open)
-    it->onVersionDeclared(named.Weights);
+    it->onVersionDeclared(declaration.Weights);
 }
 
 void Gateway::onReplicas(const ReplicaChanges &changes, bool unreachable) {
@@ -301,8 +303,8 @@
   for (const auto &it : changes.Removed) {
     Log.write(LogClass::State, "replica-gone",
               {{"replica", it}, {"unreachable_lately", unreachable}});
-    // Entries also lapse while the registry is away, of replicas that live;
-    // those that stay away are found when they are dropped from the view.
+    // Entries of live replicas also expire while the registry is unreachable;
+    // those that do not return are found when the view removes them.
     if (!unreachable)
       Crashes.onRemoved(it);
   }
@@ -317,7 +319,7 @@
                 {{"replica", it.Incarnation.text()},
                  {"address", it.Address},
                  {"leaves_in_ms", it.TerminatesIn}});
-  SeenReplicas = SeenReplicas || View.size() > 0;
+  HasReplicas = HasReplicas || View.size() > 0;
   wakeWaiting();
 }
 
@@ -326,7 +328,7 @@
       LogClass::State, "replica-restarted",
       {{"replica", before.Incarnation.text()}, {"address", before.Address}});
   Crashes.onEnded(before.Incarnation);
-  // Nothing listens any more behind connections of before.
+  // Connections to the previous incarnation have no listener any more.
   Pool.drop(parseEndpoint(before.Address));
   auto open = Exchanges;
   for (const auto &it : open)
@@ -338,7 +340,8 @@
   auto labels = Port.Labels.ReadRequest(viewsOf(request.Head.Fields));
   if (!Plan)
     return refuse(*reply, labels.Id, Unavailable, "no plan yet",
-                  Watch->reachable() ? Span(StartingRetry) : Span(AwayRetry));
+                  Watcher->reachable() ? Span(StartingRetry)
+                                       : Span(UnreachableRetry));
   auto found = access(request, labels);
   if (found.Denied != CallerAccess::Denial::None)
     return confirmDenial(std::move(request), found.Denied, std::move(reply));
@@ -351,30 +354,31 @@
   if (labels.Id.empty())
     return refuse(*reply, labels.Id, BadRequest, "the request has no id");
   if (access.CallerWorkspace && Settings.RevokeFailClosed &&
-      Watch->confirmedDeclaredAge() > Settings.RevokeBound)
+      Watcher->confirmedDeclaredAge() > Settings.RevokeBound)
     return refuse(*reply, labels.Id, Unavailable, "keys can't be confirmed",
-                  Span(AwayRetry));
+                  Span(UnreachableRetry));
   const auto *service =
       Plan->service(access.MatchedRoute->Targets.front().Service);
   bool generates = service && service->Engine;
-  if (Leaving && stopShare() > (generates ? LastGeneration : LastPlain))
+  if (Stopping &&
+      stopProgress() > (generates ? LastGenerationShare : LastPlainShare))
     return refuse(*reply, labels.Id, Unavailable, "this node stops",
-                  Span(LeavingRetry));
+                  Span(StopRetry));
   auto exchange = std::make_shared<GatewayExchange>(
-      Shared, ExchangeSetup, Plan, access, std::move(request),
+      SharedContext, ExchangeOptions, Plan, access, std::move(request),
       std::move(labels), std::move(reply));
   Exchanges.insert(exchange);
   auto now = TimerService::now();
   Meter.onRequest(now);
   if (generates)
-    Generations.onRequest(now);
-  keepAwake();
+    EngineMeter.onRequest(now);
+  stayActive();
   exchange->start();
-  if (Leaving)
-    exchange->holdAtMost(LeavingHold);
+  if (Stopping)
+    exchange->holdAtMost(StopHold);
 }
 
-double Gateway::stopShare() const {
+double Gateway::stopProgress() const {
   return inSeconds(TimerService::now() - StoppedAt) /
          inSeconds(Settings.StopBound);
 }
@@ -388,7 +392,7 @@
     for (const auto &it : Exchanges)
       if (it->waitsForChange())
         waiting.push_back(it);
-    // The most urgent first, then the one that came first.
+    // The most urgent first, then the earliest arrival.
     std::sort(waiting.begin(), waiting.end(), [](const auto &a, const auto &b) {
       return std::pair(a->rank(), a->arrivedAt()) <
              std::pair(b->rank(), b->arrivedAt());
@@ -399,7 +403,7 @@
 }
 
 void Gateway::tick() {
-  onRosters();
+  updateServingEntries();
   for (auto &[name, cell] : Cells)
     cell->tick();
   Quotas.tick();
@@ -413,33 +417,34 @@
   Settings.RepeatShare = settings.RepeatShare;
   Settings.RepeatExtra = settings.RepeatExtra;
   Settings.RepeatWindow = settings.RepeatWindow;
-  Budget.setBounds(budgetOf(Settings));
+  Budget.setBounds(retryBudgetOf(Settings));
   Log.write(LogClass::State, "reload", {{"result", "in force"}});
 }
 
 void Gateway::stop() {
-  if (std::exchange(Leaving, true))
+  if (std::exchange(Stopping, true))
     return;
   Log.write(LogClass::State, "stop",
             {{"open", static_cast<std::uint64_t>(Exchanges.size())}});
   StoppedAt = TimerService::now();
   for (auto &[name, cell] : Cells) {
     cell->sendHeartbeat();
-    cell->leave();
+    cell->releaseLease();
   }
   auto open = Exchanges;
   for (const auto &it : open)
-    it->holdAtMost(LeavingHold);
+    it->holdAtMost(StopHold);
   waitUntilIdle(StoppedAt + Settings.StopBound - StopMargin);
 }
 
 void Gateway::waitUntilIdle(Instant until) {
   auto now = TimerService::now();
-  bool quiet = stopShare() > QuietFrom;
-  if (quiet)
+  bool isQuiet = stopProgress() > QuietShare;
+  if (isQuiet)
     Callers->closeIdle();
-  if (now < until && (!Exchanges.empty() || !quiet)) {
-    Timers.after(StopLook, [this, until](Instant) { waitUntilIdle(until); });
+  if (now < until && (!Exchanges.empty() || !isQuiet)) {
+    Timers.after(StopPollInterval,
+                 [this, until](Instant) { waitUntilIdle(until); });
     return;
   }
   auto open = Exchanges;
--- a/Programs/hemlockgladed/Gateway/Gateway.h
+++ b/Programs/hemlockgladed/Gateway/Gateway.h
@@ -15,16 +15,17 @@
 
 namespace hemlockglade {
 
-/// A request that waits for the newest declarations before it is denied.
+/// A request that would be denied, and waits until this node has the newest
+/// declarations.
 struct DeniedRequest {
   CallerRequest Request;
   std::shared_ptr<CallerReply> Reply;
   bool CallerGone = false;
 };
 
-/// A node that serves from a registry: takes callers' requests, routes them to
-/// registered replicas, and has a part in each cell. All of it runs on one
-/// thread, the one that runs the io_context.
+/// A node that serves replicas from a registry: it takes callers' requests,
+/// routes them to registered replicas, and takes part in each cell. All of it
+/// runs on one thread, the one that runs the io_context.
 class Gateway {
 public:
   Gateway(asio::io_context &context, GatewaySettings settings,
@@ -33,13 +34,14 @@
   Gateway(const Gateway &) = delete;
   Gateway &operator=(const Gateway &) = delete;
 
-  /// Listens and takes part. Throws std::exception if it can't.
+  /// Opens the listeners and joins the cells. Throws std::exception on failure.
   void start();
-  /// Leaves: no longer offered to callers, serves what is open, then calls the
-  /// hook of `onStopped`. A second call changes nothing.
+  /// Stops the node: it is no longer offered to callers, finishes open
+  /// requests, then calls the hook of `onStopped`. A second call changes
+  /// nothing.
   void stop();
   void onStopped(std::function<void()> hook) { Stopped = std::move(hook); }
-  /// Takes over what may change while the node runs.
+  /// Applies the settings that may change while the node runs.
   void reload(const GatewaySettings &settings);
 
   bool ready() const;
@@ -48,24 +50,27 @@
 private:
   void listen();
   void join();
-  /// Whether the host is fit to own a large cell.
-  bool strong() const;
-  /// How long a free lease of a cell is left to better owners.
-  Span reluctance(const std::string &cell) const;
+  /// Whether the host is strong enough to own a large cell.
+  bool isStrongHost() const;
+  /// How long this node leaves a free lease of a cell to better owners.
+  Span takeoverDelay(const std::string &cell) const;
   void onOperator(const OperatorChanges &changes);
-  void onVersion(const WeightsVersion &named);
+  void onVersion(const WeightsVersion &declaration);
   void onReplicas(const ReplicaChanges &changes, bool unreachable);
-  /// A replica has started anew; what ran on it before is lost.
+  /// Called when a newer incarnation of a replica is known; what ran on the one
+  /// before is lost.
   void onRestarted(const ReplicaRecord &before);
   void onRequest(CallerRequest request, std::shared_ptr<CallerReply> reply);
-  /// A request that the plan in force does not allow. It is denied by what
-  /// operators had declared when it came, which this node may not know yet.
+  /// Handles a request that the plan in force does not allow. It is denied only
+  /// by what operators had declared when it arrived, which this node may not
+  /// have yet.
   void confirmDenial(CallerRequest request, CallerAccess::Denial denied,
                      std::shared_ptr<CallerReply> reply);
-  /// Age up to which what is known of the declarations serves for a denial.
-  Span denialAge(CallerAccess::Denial denied) const;
-  void askBeforeDenial(std::shared_ptr<DeniedRequest> it);
-  void settleDenial(DeniedRequest &it);
+  /// Maximum age of this node's declarations for which it may deny a request
+  /// without confirmation.
+  Span maxDenialAge(CallerAccess::Denial denied) const;
+  void confirmWithPeer(std::shared_ptr<DeniedRequest> it);
+  void completeDenial(DeniedRequest &it);
   void deny(CallerReply &reply, std::string_view id, CallerAccess::Denial why);
   CallerAccess access(const CallerRequest &request,
                       const RequestLabels &labels) const;
@@ -76,23 +81,25 @@
   void onMetrics(const CallerRequest &request, CallerReply &reply);
   void onPeer(const std::shared_ptr<PeerStream> &stream);
   BriefingReply briefing(std::uint64_t planVersion) const;
-  /// What a node with that version of the plan lacks of declarations.
+  /// The declarations that a node with that version of the plan lacks.
   BriefingReply declaredSince(std::uint64_t planVersion) const;
-  /// Asks a peer for what the registry does not tell: everything before this
-  /// node serves, declarations afterwards.
-  void askPeer();
-  /// Whether others are told to ask this node as they start.
+  /// Requests from a peer what the registry does not provide, if that is due:
+  /// everything before this node serves, declarations afterwards.
+  void requestBriefing();
+  /// Whether this node is a seed, which others send their first requests to as
+  /// they start.
   bool isSeed() const;
-  /// Whether it is known who owns the cell of the own failure domain.
+  /// Whether the owner of the cell of the own failure domain is known.
   bool knowsOwner() const;
-  /// Asks a peer for what operators have declared beyond what this node knows.
-  void askDeclared();
-  void askBriefing(std::string path);
-  /// A peer has told what it knows; it was asked at `askedAt`.
-  void onBriefing(const BriefingReply &reply, Instant askedAt);
+  /// Requests from a peer what operators have declared beyond what this node
+  /// has.
+  void requestDeclarations();
+  void sendBriefingRequest(std::string path);
+  /// Called with a peer's answer to a request that was sent at `requestedAt`.
+  void onBriefing(const BriefingReply &reply, Instant requestedAt);
   void onDemand(const std::string &service, const WeightsRef &weights,
                 bool waiting);
-  CellMember *homeOf(const WeightsRef &weights);
+  CellMember *homeCellOf(const WeightsRef &weights);
   void onEnd(const GatewayExchange &exchange);
   void wakeWaiting();
   void refuse(CallerReply &reply, std::string_view id, std::uint16_t status,
@@ -100,30 +107,32 @@
   void tick();
   void refresh();
   void refreshUsage();
-  /// Says how much this node has told others and asked of the registry.
+  /// Logs how much this node has sent to others and how often it has called the
+  /// registry.
   void logUsage();
   void waitUntilIdle(Instant until);
-  /// How much of the time that a stop may take has gone, 0 to 1.
-  double stopShare() const;
+  /// Share of the time bound of a stop that has passed, 0 to 1.
+  double stopProgress() const;
   CallerHooks callerHooks();
   MemberNotice self() const;
-  /// Goes by who serves callers now: takes its part of what they share, and
-  /// follows all owners while it may have callers.
-  void onRosters();
-  /// Whether callers may come here: it is in service, or one came lately.
-  void setAwake(bool awake, std::string_view why);
-  void keepAwake();
+  /// Updates which nodes serve callers: takes this node's share of what they
+  /// divide among them, and follows all owners while it may have callers.
+  void updateServingEntries();
+  /// Sets whether callers may send requests here: it is in service, or one came
+  /// lately.
+  void setActive(bool active, std::string_view why);
+  void stayActive();
   bool ownsCells() const;
   /// Whether this node has to follow the owner of a cell.
   bool follows(const std::string &cell) const;
-  /// Whose news of the registry this node hears.
-  const CellMember *newsFrom() const;
+  /// The cell whose owner sends this node registry updates; null for none.
+  const CellMember *updateSource() const;
   std::vector<std::pair<std::string, std::string>>
-  leasesBut(const std::string &cell) const;
+  leasesExcept(const std::string &cell) const;
   CellMember::Hooks memberHooks(const std::string &cell);
   ExchangeContext exchangeContext();
   CrashHooks crashHooks();
-  CrashCoordinator::Hooks crashLinkHooks();
+  CrashCoordinator::Hooks crashCoordinatorHooks();
   QuotaService::Hooks quotaHooks();
   LimitHooks limitHooks();
   void onBarred(const RequestKey &key);
@@ -141,32 +150,33 @@
   CrashCoordinator Crashes;
   PeerTraffic Traffic;
   QuotaService Quotas;
-  FairQueue Turns;
-  ExchangeContext Shared;
-  const ExchangeSettings ExchangeSetup;
+  FairQueue Queue;
+  ExchangeContext SharedContext;
+  const ExchangeSettings ExchangeOptions;
   std::unique_ptr<PeerNet> Peers;
   std::map<std::string, std::unique_ptr<CellMember>> Cells;
-  ServingEntries Board;
-  /// All requests, and those for engines alone.
+  ServingEntries Entries;
+  /// Meters of all requests, and of those for engines alone.
   EntryLoadMeter Meter;
-  EntryLoadMeter Generations;
+  EntryLoadMeter EngineMeter;
   bool InService = false;
-  bool Awake = false;
-  /// When a caller's request came last.
-  Instant AskedAt{-3'600'000'000};
-  std::unique_ptr<RegistryWatcher> Watch;
+  bool Active = false;
+  /// When callers' requests for engines last had the rate that makes the node
+  /// active.
+  Instant LastRequestAt{-3'600'000'000};
+  std::unique_ptr<RegistryWatcher> Watcher;
   std::unique_ptr<CallerServer> Callers;
   std::unique_ptr<CallerServer> Directory;
   std::unique_ptr<CallerServer> Readiness;
   std::unique_ptr<CallerServer> MetricsServer;
   std::shared_ptr<const RoutePlan> Plan;
   std::unordered_set<std::shared_ptr<GatewayExchange>> Exchanges;
-  bool SeenReplicas = false;
-  bool Leaving = false;
+  bool HasReplicas = false;
+  bool Stopping = false;
   Instant StoppedAt{};
   bool WakePosted = false;
   std::size_t NextSeed;
-  Instant AskedDeclaredAt{-3'600'000'000};
+  Instant DeclarationsRequestedAt{-3'600'000'000};
   std::vector<TimerService::Subscription> Subscriptions;
   std::function<void()> Stopped;
 };
--- a/Programs/hemlockgladed/Gateway/GatewayAccess.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayAccess.cpp
@@ -1,4 +1,5 @@
-// Whom a gateway lets in: keys, routes, and its part in workspaces' limits.
+// The part of Gateway that decides on access: keys, routes, and its part in
+// workspaces' limits.
 
 #include "Programs/hemlockgladed/Gateway/Gateway.h"
 #include "Programs/hemlockgladed/Gateway/GatewayStatus.h"
@@ -12,12 +13,12 @@
 constexpr MetricFamily RefusedFamily{
     "hemlockglade_refused_total",
     "Requests that were refused before a route was found for them, by status."};
-/// Age up to which what is known of the declarations serves to deny a key: who
-/// was given one just now may already use it.
-constexpr Span KeyDenialAge = std::chrono::milliseconds(100);
-/// How long a node that the registry does not answer waits for a peer's word.
-constexpr Span PeerPatience = std::chrono::milliseconds(200);
-/// When to come back to a node that can't say whether the key is good.
+/// Maximum age of declarations by which a key is denied: the caller may use a
+/// key as soon as it has been issued.
+constexpr Span MaxKeyDenialAge = std::chrono::milliseconds(100);
+/// How long a node that gets no answer from the registry waits for a peer's.
+constexpr Span PeerTimeout = std::chrono::milliseconds(200);
+/// Retry-After of a node that can't confirm whether a key is valid.
 constexpr Span UnconfirmedRetry = std::chrono::milliseconds(1000);
 
 std::string_view textOf(CallerAccess::Denial why) {
@@ -45,7 +46,7 @@
              {"status", std::uint32_t{status}},
              {"why", why},
              {"plan", Plan ? Plan->version() : 0},
-             {"declared_age_ms", Watch->operatorAge()}});
+             {"declared_age_ms", Watcher->operatorAge()}});
   HttpAnswerHead head{status, fieldsOf(Port.Labels.OwnAnswer(id))};
   if (retryAfter)
     head.Fields.push_back(retryAfterField(*retryAfter));
@@ -101,11 +102,11 @@
   refuse(reply, id, noRoute ? NotFound : Unauthorized, textOf(why));
 }
 
-Span Gateway::denialAge(CallerAccess::Denial denied) const {
-  // Routes change rarely, and whoever looks around asks every node for some
-  // that never were: the age that all nodes keep to serves.
+Span Gateway::maxDenialAge(CallerAccess::Denial denied) const {
+  // Routes change rarely, and scanners request routes that never existed from
+  // every node: the age that all nodes keep to is enough.
   bool noRoute = denied == CallerAccess::Denial::NoRoute;
-  return noRoute ? Settings.lookPace().MaxOperatorAge : Span(KeyDenialAge);
+  return noRoute ? Settings.lookPace().MaxOperatorAge : Span(MaxKeyDenialAge);
 }
 
 void Gateway::confirmDenial(CallerRequest request, CallerAccess::Denial denied,
@@ -113,27 +114,27 @@
   auto it = std::make_shared<DeniedRequest>();
   it->Request = std::move(request);
   it->Reply = std::move(reply);
-  if (Watch->declaredAge() <= denialAge(denied))
-    return settleDenial(*it);
+  if (Watcher->declaredAge() <= maxDenialAge(denied))
+    return completeDenial(*it);
   it->Reply->OnGone = [weak = std::weak_ptr(it)] {
     if (auto denied = weak.lock())
       denied->CallerGone = true;
   };
-  Watch->confirm([this, it](bool known) {
+  Watcher->confirm([this, it](bool known) {
     if (known || Settings.Seeds.empty())
-      settleDenial(*it);
+      completeDenial(*it);
     else
-      askBeforeDenial(it);
+      confirmWithPeer(it);
   });
 }
 
-void Gateway::askBeforeDenial(std::shared_ptr<DeniedRequest> it) {
-  askDeclared();
-  Timers.after(PeerPatience,
-               [this, it = std::move(it)](Instant) { settleDenial(*it); });
+void Gateway::confirmWithPeer(std::shared_ptr<DeniedRequest> it) {
+  requestDeclarations();
+  Timers.after(PeerTimeout,
+               [this, it = std::move(it)](Instant) { completeDenial(*it); });
 }
 
-void Gateway::settleDenial(DeniedRequest &it) {
+void Gateway::completeDenial(DeniedRequest &it) {
   if (it.CallerGone)
     return;
   it.Reply->OnGone = nullptr;
@@ -142,7 +143,7 @@
   if (found.Denied == CallerAccess::Denial::None)
     return serve(std::move(it.Request), std::move(labels), found,
                  std::move(it.Reply));
-  if (Watch->declaredAge() > Settings.PlanBound)
+  if (Watcher->declaredAge() > Settings.PlanBound)
     return refuse(*it.Reply, labels.Id, Unavailable,
                   "declarations can't be confirmed", UnconfirmedRetry);
   deny(*it.Reply, labels.Id, found.Denied);
--- a/Programs/hemlockgladed/Gateway/GatewayCrashes.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayCrashes.cpp
@@ -1,4 +1,4 @@
-// What a gateway does about requests that crash replicas.
+// The part of Gateway that handles requests which crash replicas.
 
 #include "Programs/hemlockgladed/Gateway/Gateway.h"
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A host refuses a connection within a round trip; a lost packet is sent again
-/// after 200 ms.
+/// A host refuses a connection within a round trip; a lost packet is
+/// retransmitted after 200 ms.
 constexpr auto ProbeTimeout = std::chrono::milliseconds(500);
 
 } // namespace
@@ -20,7 +20,7 @@
   hooks.OnSent = [this](const RequestKey &key) { Crashes.onSent(key); };
   hooks.OnBroken = [this](const ReplicaRecord &replica, const RequestKey &key,
                           Instant sentAt, std::optional<Instant> beganAt) {
-    // One that leaves ends with what it still runs.
+    // A draining replica ends while requests still run on it.
     if (!View.isDraining(replica.Incarnation.text()))
       Crashes.onBroken(replica, key, sentAt, beganAt);
   };
@@ -29,14 +29,14 @@
     if (!View.isDraining(replica.Incarnation.text()))
       Crashes.onGivenUp(replica, key, sentAt, beganAt);
   };
-  hooks.OnReplaced = [this](const ReplicaIncarnation &life) {
-    Crashes.onEnded(life);
+  hooks.OnReplaced = [this](const ReplicaIncarnation &incarnation) {
+    Crashes.onEnded(incarnation);
   };
   hooks.OnServed = [this](const RequestKey &key) { Crashes.onServed(key); };
   return hooks;
 }
 
-CrashCoordinator::Hooks Gateway::crashLinkHooks() {
+CrashCoordinator::Hooks Gateway::crashCoordinatorHooks() {
   CrashCoordinator::Hooks hooks;
   hooks.Probe = [this](const std::string &address,
                        std::function<void(Listening)> done) {
@@ -55,7 +55,8 @@
 }
 
 void Gateway::onBarred(const RequestKey &key) {
-  // Later, since an exchange may be in the middle of telling of its attempt.
+  // Posted, since the call may come from within an exchange that is reporting
+  // its attempt.
   asio::post(Context, [this, key] {
     auto open = Exchanges;
     for (const auto &it : open)
--- a/Programs/hemlockgladed/Gateway/GatewayListen.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayListen.cpp
@@ -1,5 +1,5 @@
-// Where a gateway is reached by callers, by those who ask for addresses and by
-// those who look at it.
+// The part of Gateway that listens: for callers, for requests to the directory,
+// and for readiness checks and metrics.
 
 #include "Programs/hemlockgladed/Gateway/Gateway.h"
 #include "Programs/hemlockgladed/Gateway/GatewayStatus.h"
@@ -10,12 +10,13 @@
 
 namespace {
 
-/// Descriptors kept back for peers, the registry and files.
+/// Descriptors reserved for peers, the registry and files.
 constexpr std::size_t ReservedDescriptors = 300;
-/// Share of the others that callers may use; the rest is for replicas.
+/// Share of the other descriptors that callers may use; the rest is for
+/// connections to replicas.
 constexpr double CallerShare = 0.6;
-/// How long callers keep an address: short, so that a host that died is asked
-/// for half a second only.
+/// How long callers may keep an address: short, so that a failed host receives
+/// requests for half a second only.
 constexpr auto DirectoryTtl = std::chrono::milliseconds(500);
 constexpr std::size_t MaxAddresses = 64;
 
@@ -33,7 +34,7 @@
     out.IdleTimeout = Plan->limits().IdleTimeout;
     return out;
   };
-  hooks.Closing = [this] { return Leaving; };
+  hooks.Closing = [this] { return Stopping; };
   hooks.OnRefused = [this](std::uint16_t status, std::string_view why) {
     Log.write(LogClass::Request, "refused-unread",
               {{"status", std::uint32_t{status}}, {"why", why}});
@@ -42,26 +43,27 @@
 }
 
 void Gateway::listen() {
-  std::size_t usable = Settings.MaxDescriptors > ReservedDescriptors
-                           ? Settings.MaxDescriptors - ReservedDescriptors
-                           : Settings.MaxDescriptors / 2;
-  auto most =
-      static_cast<std::size_t>(CallerShare * static_cast<double>(usable));
+  std::size_t usableDescriptors =
+      Settings.MaxDescriptors > ReservedDescriptors
+          ? Settings.MaxDescriptors - ReservedDescriptors
+          : Settings.MaxDescriptors / 2;
+  auto maxCallers = static_cast<std::size_t>(
+      CallerShare * static_cast<double>(usableDescriptors));
   auto hooks = callerHooks();
   hooks.OnRequest = [this](CallerRequest &&request, auto reply) {
     onRequest(std::move(request), std::move(reply));
   };
   Callers = std::make_unique<CallerServer>(
-      Context, parseEndpoint(Settings.CallerAddress), most, hooks);
+      Context, parseEndpoint(Settings.CallerAddress), maxCallers, hooks);
   auto serve = [this, &hooks](const std::string &address, auto handler) {
     hooks.OnRequest = [handler](const CallerRequest &request, auto reply) {
       handler(request, *reply);
     };
-    constexpr std::size_t SideConnections = 256;
+    constexpr std::size_t MaxSideConnections = 256;
     return address.empty()
                ? nullptr
                : std::make_unique<CallerServer>(Context, parseEndpoint(address),
-                                                SideConnections, hooks);
+                                                MaxSideConnections, hooks);
   };
   Directory = serve(Settings.DirectoryAddress,
                     [this](const auto &request, auto &reply) {
@@ -81,16 +83,17 @@
   auto query = Port.Directory.Read(request.Head.Target);
   if (!query)
     return reply.respond({NotFound, {}}, "");
-  // What a silent owner told must not be named, also right after a suspend.
-  onRosters();
-  auto entries = Board.inDomain(query->FailureDomain);
+  // Entries from an owner that has become silent must not be listed, also right
+  // after this process was suspended.
+  updateServingEntries();
+  auto entries = Entries.inDomain(query->FailureDomain);
   if (entries.empty())
-    entries = Board.all();
+    entries = Entries.all();
   std::vector<std::string> out;
   for (const auto &it : entries)
     if (it.Node != Settings.Name || ready())
       out.push_back(it.CallerAddress);
-  // A node that knows of nobody is there itself.
+  // A node that knows no node in service lists itself.
   if (out.empty() && ready())
     out.push_back(Settings.CallerAddress);
   if (out.size() > MaxAddresses)
--- a/Programs/hemlockgladed/Gateway/GatewayMetrics.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayMetrics.cpp
@@ -1,4 +1,5 @@
-// What a gateway counts, and what it says of its own use of others.
+// The part of Gateway that maintains metrics and logs its use of the registry
+// and of peers.
 
 #include "Programs/hemlockgladed/Gateway/Gateway.h"
 #include "Programs/hemlockgladed/Gateway/GatewayStatus.h"
@@ -108,7 +109,8 @@
   Meter.onBytes(exchange.bytesMoved(), TimerService::now());
   auto self =
       std::const_pointer_cast<GatewayExchange>(exchange.shared_from_this());
-  // The exchange's own functions may still run; it goes when they are over.
+  // The exchange's own functions may still be running; it is destroyed after
+  // they have returned.
   asio::post(Context, [self] {});
   Exchanges.erase(self);
 }
@@ -132,8 +134,8 @@
   Metrics.gauge(ServingFamily).set(static_cast<double>(Exchanges.size()));
   Metrics.gauge(PlanFamily)
       .set(Plan ? static_cast<double>(Plan->version()) : 0);
-  Metrics.gauge(DeclaredAgeFamily).set(inSeconds(Watch->operatorAge()));
-  Metrics.gauge(ReplicasAgeFamily).set(inSeconds(Watch->replicasAge()));
+  Metrics.gauge(DeclaredAgeFamily).set(inSeconds(Watcher->operatorAge()));
+  Metrics.gauge(ReplicasAgeFamily).set(inSeconds(Watcher->replicasAge()));
   Metrics.gauge(LogLeftOutFamily).set(static_cast<double>(Log.dropped()));
   Metrics.gauge(InServiceFamily).set(InService ? 1 : 0);
   Metrics.gauge(SuspectsFamily).set(static_cast<double>(Crashes.suspects()));
@@ -176,16 +178,16 @@
              {"calls_replicas", calls.Replicas},
              {"calls_lease_reads", calls.LeaseReads},
              {"calls_lease_writes", calls.LeaseWrites},
-             {"node_beats_near", bytes(PeerMessage::NodeBeat, true)},
-             {"node_beats_far", bytes(PeerMessage::NodeBeat, false)},
+             {"node_beats_near", bytes(PeerMessage::NodeHeartbeat, true)},
+             {"node_beats_far", bytes(PeerMessage::NodeHeartbeat, false)},
              {"node_notices_near", bytes(PeerMessage::NodeNotice, true)},
              {"node_notices_far", bytes(PeerMessage::NodeNotice, false)},
-             {"owner_beats_near", bytes(PeerMessage::OwnerBeat, true)},
-             {"owner_beats_far", bytes(PeerMessage::OwnerBeat, false)},
+             {"owner_beats_near", bytes(PeerMessage::OwnerHeartbeat, true)},
+             {"owner_beats_far", bytes(PeerMessage::OwnerHeartbeat, false)},
              {"owner_notices_near", bytes(PeerMessage::OwnerNotice, true)},
              {"owner_notices_far", bytes(PeerMessage::OwnerNotice, false)},
-             {"quota_asks_near", bytes(PeerMessage::QuotaAsk, true)},
-             {"quota_asks_far", bytes(PeerMessage::QuotaAsk, false)},
+             {"quota_asks_near", bytes(PeerMessage::QuotaRequest, true)},
+             {"quota_asks_far", bytes(PeerMessage::QuotaRequest, false)},
              {"quota_grants_near", bytes(PeerMessage::QuotaGrant, true)},
              {"quota_grants_far", bytes(PeerMessage::QuotaGrant, false)}});
 }
--- a/Programs/hemlockgladed/Gateway/GatewayPeers.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayPeers.cpp
@@ -1,4 +1,4 @@
-// What a gateway tells other nodes and hears from them.
+// The part of Gateway that exchanges messages with other nodes.
 
 #include "Programs/hemlockgladed/Gateway/Gateway.h"
 
@@ -9,27 +9,29 @@
 
 namespace {
 
-/// How long a node that has had a caller takes it that more may come: longer
-/// than callers keep an address.
-constexpr auto AwakeFor = std::chrono::seconds(3);
-/// Requests for engines a second that wake a node: a single one, of a caller
-/// that looks around, is served by what the replicas register.
-constexpr double WakingRequests = 1.5;
-/// How long a node hears one of several owners of other cells: two beats.
-constexpr Span NewsTurn = std::chrono::milliseconds(600);
-/// Silence of the own cell's owner after which a node listens to the others.
-constexpr auto OwnerPatience = std::chrono::milliseconds(3000);
+/// How long a node stays active after a caller's request: longer than callers
+/// keep an address.
+constexpr auto ActivePeriod = std::chrono::seconds(3);
+/// Rate of requests for engines, a second, that makes a node active. A single
+/// request, of a caller that probes addresses, is served from what the replicas
+/// register.
+constexpr double ActivatingRequestRate = 1.5;
+/// How long a node takes updates from one of several owners of other cells: two
+/// heartbeats.
+constexpr Span UpdateSourcePeriod = std::chrono::milliseconds(600);
+/// Silence of the own cell's owner after which a node follows the others.
+constexpr auto OwnerTimeout = std::chrono::milliseconds(3000);
 
-/// The version behind a path that asks for what is newer.
-std::optional<std::uint64_t> versionIn(std::string_view path,
-                                       std::string_view prefix) {
+/// Reads the version that ends a path which requests what is newer than it.
+std::optional<std::uint64_t> versionInPath(std::string_view path,
+                                           std::string_view prefix) {
   if (!path.starts_with(prefix))
     return std::nullopt;
   std::uint64_t out = 0;
   const auto *end = path.data() + path.size();
-  bool good =
+  bool parsed =
       std::from_chars(path.data() + prefix.size(), end, out).ec == std::errc();
-  return good ? std::optional(out) : std::nullopt;
+  return parsed ? std::optional(out) : std::nullopt;
 }
 
 } // namespace
@@ -37,7 +39,7 @@
 MemberNotice Gateway::self() const {
   return {Settings.Name,          Incarnation, Settings.CallerAddress,
           Settings.FailureDomain, ready(),     Settings.Cores,
-          Settings.LinkMbps,      Awake};
+          Settings.LinkMbps,      Active};
 }
 
 bool Gateway::ownsCells() const {
@@ -45,34 +47,34 @@
                      [](const auto &it) { return it.second->isOwner(); });
 }
 
-const CellMember *Gateway::newsFrom() const {
+const CellMember *Gateway::updateSource() const {
   auto own = Cells.find(Settings.FailureDomain);
   bool owns = own != Cells.end() && own->second->isOwner();
-  // An owner that the registry turns away tells on what others see.
-  if (owns && Watch->reachable())
+  // An owner that the registry refuses forwards what other nodes receive.
+  if (owns && Watcher->reachable())
     return nullptr;
   if (!owns && own != Cells.end() && own->second->isUpToDate())
     return own->second.get();
-  // In turns, since another owner may be turned away as well.
+  // Rotates among the owners, since another owner may be refused as well.
   std::vector<const CellMember *> others;
   for (const auto &[name, cell] : Cells)
     if (cell->isUpToDate() && !cell->isOwner())
       others.push_back(cell.get());
   if (others.empty())
     return own == Cells.end() ? nullptr : own->second.get();
-  auto turn = TimerService::now() / NewsTurn;
-  return others[static_cast<std::size_t>(turn) % others.size()];
+  auto period = TimerService::now() / UpdateSourcePeriod;
+  return others[static_cast<std::size_t>(period) % others.size()];
 }
 
 bool Gateway::follows(const std::string &cell) const {
-  if (Awake || cell == Settings.FailureDomain)
+  if (Active || cell == Settings.FailureDomain)
     return true;
   auto own = Cells.find(Settings.FailureDomain);
-  return own == Cells.end() || own->second->silentFor() > OwnerPatience;
+  return own == Cells.end() || own->second->silentFor() > OwnerTimeout;
 }
 
 std::vector<std::pair<std::string, std::string>>
-Gateway::leasesBut(const std::string &cell) const {
+Gateway::leasesExcept(const std::string &cell) const {
   std::vector<std::pair<std::string, std::string>> out;
   for (const auto &[name, it] : Cells)
     if (const auto &row = it->lease().row(); row && name != cell)
@@ -80,44 +82,44 @@
   return out;
 }
 
-void Gateway::onRosters() {
+void Gateway::updateServingEntries() {
   for (const auto &[name, cell] : Cells)
-    if (const auto *told = cell->servingEntries())
-      Board.update(name, *told);
+    if (const auto *entries = cell->servingEntries())
+      Entries.update(name, *entries);
     else
-      Board.forget(name);
-  InService = Board.serves(Settings.Name, Settings.FailureDomain);
-  auto part = Board.shareOf(Settings.Name, Settings.FailureDomain);
-  Budget.setTrafficShare(part);
-  auto nodes = part > 0 ? std::lround(1 / part) : 1;
+      Entries.forget(name);
+  InService = Entries.serves(Settings.Name, Settings.FailureDomain);
+  auto share = Entries.shareOf(Settings.Name, Settings.FailureDomain);
+  Budget.setTrafficShare(share);
+  auto nodes = share > 0 ? std::lround(1 / share) : 1;
   View.setTrafficShare(1.0 / static_cast<double>(nodes));
   Quotas.setEntries(static_cast<std::size_t>(nodes));
   Crashes.setTrialSlot(std::hash<std::string>{}(Settings.Name),
                        static_cast<std::size_t>(nodes));
-  bool asked = TimerService::now() - AskedAt < AwakeFor;
-  setAwake(InService || ownsCells() || asked,
-           InService ? "in service" : "no callers");
+  bool recentlyRequested = TimerService::now() - LastRequestAt < ActivePeriod;
+  setActive(InService || ownsCells() || recentlyRequested,
+            InService ? "in service" : "no callers");
 }
 
-void Gateway::keepAwake() {
+void Gateway::stayActive() {
   auto now = TimerService::now();
-  if (Generations.load(now).Requests < WakingRequests)
+  if (EngineMeter.load(now).Requests < ActivatingRequestRate)
     return;
-  AskedAt = now;
-  if (Awake)
+  LastRequestAt = now;
+  if (Active)
     return;
-  setAwake(true, "callers came");
+  setActive(true, "callers came");
   for (auto &[name, cell] : Cells)
     cell->tick();
 }
 
-void Gateway::setAwake(bool awake, std::string_view why) {
-  if (std::exchange(Awake, awake) == awake)
+void Gateway::setActive(bool active, std::string_view why) {
+  if (std::exchange(Active, active) == active)
     return;
-  Log.write(LogClass::State, awake ? "wakes" : "stands-by", {{"why", why}});
-  if (!awake)
+  Log.write(LogClass::State, active ? "wakes" : "stands-by", {{"why", why}});
+  if (!active)
     return;
-  // The owners have to tell it what they hold before its callers come.
+  // The owners have to send it what replicas hold before its callers arrive.
   for (auto &[name, cell] : Cells)
     cell->sendHeartbeat();
 }
@@ -134,13 +136,13 @@
     if (Cells.contains(cell))
       return Quotas.onEntry(cell, stream);
   }
-  if (auto known = versionIn(path, peer_path::Briefing))
+  if (auto known = versionInPath(path, peer_path::Briefing))
     stream->send(pack(briefing(*known)));
-  if (auto known = versionIn(path, peer_path::Declared))
+  if (auto known = versionInPath(path, peer_path::Declared))
     stream->send(pack(declaredSince(*known)));
   if (path == peer_path::Leases) {
     BriefingReply reply;
-    reply.Leases = leasesBut("");
+    reply.Leases = leasesExcept("");
     stream->send(pack(reply));
   }
   stream->close();
@@ -154,9 +156,9 @@
   for (const auto &it : View.versions().all())
     out.Versions.push_back(
         {it.Weights.text(), it.Version, (now - it.NotBefore).count()});
-  // 0 says that nothing is known of the age.
+  // 0 means that the age is unknown.
   out.OperatorAgeUs =
-      std::max<std::int64_t>(1, Watch->confirmedDeclaredAge().count());
+      std::max<std::int64_t>(1, Watcher->confirmedDeclaredAge().count());
   return out;
 }
 
@@ -165,12 +167,12 @@
   out.Crashes = Crashes.since(0);
   for (const auto &it : View.inUse())
     out.Replicas.emplace_back(it->Incarnation.id(), it->Source);
-  out.Leases = leasesBut("");
-  out.KnownPositions = Watch->positions();
-  out.OperatorAgeUs = Watch->confirmedAge().count();
-  out.ReplicaAgeUs = Watch->replicasAge().count();
-  // One that has lapsed is used for a while yet, and its going is told only to
-  // nodes that know less.
+  out.Leases = leasesExcept("");
+  out.KnownPositions = Watcher->positions();
+  out.OperatorAgeUs = Watcher->confirmedAge().count();
+  out.ReplicaAgeUs = Watcher->replicasAge().count();
+  // A replica whose entry has expired is used for a while yet, and its removal
+  // is sent only to nodes with a lower position.
   if (View.anyPendingRemoval())
     out.KnownPositions.Replica = 0;
   return out;
@@ -188,54 +190,54 @@
                      });
 }
 
-void Gateway::askPeer() {
-  if (Settings.Seeds.empty() || Leaving)
+void Gateway::requestBriefing() {
+  if (Settings.Seeds.empty() || Stopping)
     return;
-  if (!Plan || !SeenReplicas)
-    return askBriefing(std::string(peer_path::Briefing) +
-                       std::to_string(Plan ? Plan->version() : 0));
+  if (!Plan || !HasReplicas)
+    return sendBriefingRequest(std::string(peer_path::Briefing) +
+                               std::to_string(Plan ? Plan->version() : 0));
   if (!knowsOwner())
-    return askBriefing(std::string(peer_path::Leases));
-  // The registry may turn this node away and serve the others, whose plan
-  // callers then meet beside an older one here. One question in each half of
+    return sendBriefingRequest(std::string(peer_path::Leases));
+  // The registry may refuse this node and serve the others, so that callers
+  // meet a newer plan there and an older one here. One request in each half of
   // the bound, of some 100 bytes where nothing is newer.
   auto now = TimerService::now();
-  if (Watch->operatorAge() < Settings.PlanBound ||
-      now - AskedDeclaredAt < Settings.PlanBound / 2)
+  if (Watcher->operatorAge() < Settings.PlanBound ||
+      now - DeclarationsRequestedAt < Settings.PlanBound / 2)
     return;
-  askDeclared();
+  requestDeclarations();
 }
 
-void Gateway::askDeclared() {
-  AskedDeclaredAt = TimerService::now();
-  askBriefing(std::string(peer_path::Declared) +
-              std::to_string(Plan->version()));
+void Gateway::requestDeclarations() {
+  DeclarationsRequestedAt = TimerService::now();
+  sendBriefingRequest(std::string(peer_path::Declared) +
+                      std::to_string(Plan->version()));
 }
 
-void Gateway::askBriefing(std::string path) {
+void Gateway::sendBriefingRequest(std::string path) {
   auto seed = Settings.Seeds[NextSeed++ % Settings.Seeds.size()];
   auto peer =
       seed.substr(0, seed.rfind(':')) + ":" + std::to_string(Settings.PeerPort);
   if (peer.starts_with(Settings.Address + ":"))
     return;
   PeerHooks hooks;
-  hooks.OnMessage = [this,
-                     askedAt = TimerService::now()](std::string_view message) {
+  hooks.OnMessage = [this, requestedAt =
+                               TimerService::now()](std::string_view message) {
     if (auto reply = unpack<BriefingReply>(message))
-      onBriefing(*reply, askedAt);
+      onBriefing(*reply, requestedAt);
     else
       Log.write(LogClass::State, "message-refused", {{"what", "briefing"}});
   };
   Peers->open(peer, std::move(path), "?", std::move(hooks));
 }
 
-void Gateway::onBriefing(const BriefingReply &reply, Instant askedAt) {
+void Gateway::onBriefing(const BriefingReply &reply, Instant requestedAt) {
   OperatorChanges declared;
   if (!reply.PlanText.empty())
     declared.Plan = Port.Registry.ParsePlan(reply.PlanText);
   for (const auto &it : reply.Versions)
-    declared.Versions.push_back(
-        {WeightsRef::parse(it.Weights), it.Version, askedAt - Span(it.AgeUs)});
+    declared.Versions.push_back({WeightsRef::parse(it.Weights), it.Version,
+                                 requestedAt - Span(it.AgeUs)});
   ReplicaChanges replicas;
   for (const auto &[id, source] : reply.Replicas)
     if (auto it = Port.Registry.ParseReplica(id, source))
@@ -245,21 +247,22 @@
         LogClass::State, "briefing",
         {{"plan", declared.Plan ? declared.Plan->version() : 0},
          {"replicas", static_cast<std::uint64_t>(replicas.Present.size())}});
-  // A position must not pass what could not be read or is not taken.
-  auto knows = reply.KnownPositions;
+  // A position must not be beyond entries that could not be parsed or are not
+  // taken.
+  auto positions = reply.KnownPositions;
   if (!reply.PlanText.empty() && !declared.Plan)
-    knows.Operator = 0;
-  if (SeenReplicas || replicas.Present.size() < reply.Replicas.size())
-    knows.Replica = 0;
+    positions.Operator = 0;
+  if (HasReplicas || replicas.Present.size() < reply.Replicas.size())
+    positions.Replica = 0;
   Crashes.onPeerRecords(reply.Crashes);
   onOperator(declared);
-  bool tellsAll = reply.PlanText.empty() || declared.Plan;
-  if (reply.OperatorAgeUs > 0 && tellsAll)
-    Watch->onDeclared(Span(reply.OperatorAgeUs), askedAt);
-  if (!SeenReplicas && !replicas.Present.empty())
+  bool isComplete = reply.PlanText.empty() || declared.Plan;
+  if (reply.OperatorAgeUs > 0 && isComplete)
+    Watcher->onDeclared(Span(reply.OperatorAgeUs), requestedAt);
+  if (!HasReplicas && !replicas.Present.empty())
     onReplicas(replicas, true);
-  Watch->onBriefed(knows, Span(reply.OperatorAgeUs), Span(reply.ReplicaAgeUs),
-                   askedAt);
+  Watcher->onBriefed(positions, Span(reply.OperatorAgeUs),
+                     Span(reply.ReplicaAgeUs), requestedAt);
   for (const auto &[name, text] : reply.Leases) {
     auto cell = Cells.find(name);
     auto row = CellLeaseRow::parse(text);
@@ -268,20 +271,20 @@
   }
 }
 
-CellMember *Gateway::homeOf(const WeightsRef &weights) {
+CellMember *Gateway::homeCellOf(const WeightsRef &weights) {
   // The same cell for all nodes, so that weights are loaded once, and again
-  // where they still lie in a replica's memory. Cells that can't load now are
-  // passed over.
+  // where they are still in a replica's memory. Cells that can't load now rank
+  // lower.
   CellMember *best = nullptr;
-  std::pair<bool, std::uint64_t> most{};
+  std::pair<bool, std::uint64_t> bestRank{};
   for (auto &[name, cell] : Cells) {
     std::pair<bool, std::uint64_t> rank{
         cell->canOrder(),
         std::hash<std::string>{}(weights.text() + "@" + name)};
-    if (best && rank <= most)
+    if (best && rank <= bestRank)
       continue;
     best = cell.get();
-    most = rank;
+    bestRank = rank;
   }
   return best;
 }
@@ -289,7 +292,7 @@
 void Gateway::onDemand(const std::string &service, const WeightsRef &weights,
                        bool waiting) {
   auto own = Cells.find(Settings.FailureDomain);
-  auto *home = homeOf(weights);
+  auto *home = homeCellOf(weights);
   if (waiting && home)
     return home->onDemand(service, weights, true);
   if (own != Cells.end())
--- a/Programs/hemlockgladed/Gateway/GatewaySignals.h
+++ b/Programs/hemlockgladed/Gateway/GatewaySignals.h
@@ -6,13 +6,13 @@
 
 namespace hemlockglade {
 
-/// Reads and checks a settings file; the error says what is wrong where.
+/// Reads and checks a settings file; the error says what is wrong and where.
 tl::expected<GatewaySettings, std::string>
 readGatewayFile(const std::string &path);
 
-/// Obeys the signals of a running node: SIGTERM and SIGINT stop it, SIGHUP has
-/// its settings file read again. Bad settings are refused with a log line, and
-/// those before stay in force.
+/// Handles the signals of a running node: SIGTERM and SIGINT stop it, SIGHUP
+/// reloads its settings file. Invalid settings are logged and rejected, and the
+/// previous ones stay in force.
 class GatewaySignals {
 public:
   GatewaySignals(asio::io_context &context, Gateway &gateway, EventLog &log,
--- a/Programs/hemlockgladed/Gateway/PeerTraffic.cpp
+++ b/Programs/hemlockgladed/Gateway/PeerTraffic.cpp
@@ -4,15 +4,15 @@
 
 std::string_view peerMessageName(PeerMessage kind) {
   switch (kind) {
-  case PeerMessage::NodeBeat:
+  case PeerMessage::NodeHeartbeat:
     return "node_beat";
   case PeerMessage::NodeNotice:
     return "node_notice";
-  case PeerMessage::OwnerBeat:
+  case PeerMessage::OwnerHeartbeat:
     return "owner_beat";
   case PeerMessage::OwnerNotice:
     return "owner_notice";
-  case PeerMessage::QuotaAsk:
+  case PeerMessage::QuotaRequest:
     return "quota_ask";
   case PeerMessage::QuotaGrant:
     return "quota_grant";
--- a/Programs/hemlockgladed/Gateway/PeerTraffic.h
+++ b/Programs/hemlockgladed/Gateway/PeerTraffic.h
@@ -6,25 +6,26 @@
 
 namespace hemlockglade {
 
-/// What nodes tell each other about cells and limits.
+/// Kinds of messages that nodes send each other about cells and limits.
 enum class PeerMessage : std::uint8_t {
-  /// A node's regular message to an owner, and its brief one as it sends
-  /// requests.
-  NodeBeat,
+  /// A node's regular message to an owner, and its brief one when it has sent
+  /// requests to replicas.
+  NodeHeartbeat,
   NodeNotice,
-  /// An owner's regular message to a node, and its brief one of what others
-  /// send and engines hold.
-  OwnerBeat,
+  /// An owner's regular message to a node, and its brief one about requests
+  /// that others have sent and weights that replicas hold.
+  OwnerHeartbeat,
   OwnerNotice,
-  /// What an entry asks of an owner of workspaces' limits, and its answer.
-  QuotaAsk,
+  /// An entry's request to an owner for a part of workspaces' limits, and the
+  /// owner's answer.
+  QuotaRequest,
   QuotaGrant,
 };
 
 std::string_view peerMessageName(PeerMessage kind);
 
-/// Counts what a node has sent to others, by kind and by whether it went to
-/// its own failure domain.
+/// Counts the messages that a node has sent to others, by kind and by whether
+/// they went to its own failure domain.
 class PeerTraffic {
 public:
   struct Sum {
--- a/Programs/hemlockgladed/Gateway/QuotaService.cpp
+++ b/Programs/hemlockgladed/Gateway/QuotaService.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// A way to an owner that nothing was sent on for this long is closed.
-constexpr Span WayRests = std::chrono::seconds(10);
+/// A stream to an owner that nothing was sent on for this long is closed.
+constexpr Span StreamIdleTimeout = std::chrono::seconds(10);
 
 } // namespace
 
 QuotaService::QuotaService(std::vector<std::string> cells, std::string own,
                            QuotaSettings settings, Hooks hooks,
                            PeerTraffic &traffic, EventLog &log)
-    : Cells(std::move(cells)), Own(std::move(own)), Setup(settings),
-      Out(std::move(hooks)), Traffic(traffic), Log(log),
-      Account(QuotaClient::Settings{}, settings) {
-  Account.setCells(Cells, Own);
+    : Cells(std::move(cells)), OwnCell(std::move(own)), Options(settings),
+      Callbacks(std::move(hooks)), Traffic(traffic), Log(log),
+      Client(QuotaClient::Settings{}, settings) {
+  Client.setCells(Cells, OwnCell);
 }
 
 QuotaService::~QuotaService() { *Alive = false; }
@@ -31,62 +31,63 @@
 void QuotaService::reserve(const Workspace &workspace, double units,
                            OnDecided decided) {
   auto number = ++LastTicket;
-  auto decision =
-      Account.reserve(number, workspace, units, TimerService::now());
-  pumpSoon();
+  auto decision = Client.reserve(number, workspace, units, TimerService::now());
+  flushSoon();
   if (decision)
     return decided(decision->Result, decision->RetryAfter);
   Undecided.emplace(number, std::move(decided));
 }
 
 void QuotaService::charge(const Workspace &workspace, double units) {
-  Account.charge(workspace, units, TimerService::now());
+  Client.charge(workspace, units, TimerService::now());
 }
 
 void QuotaService::release(const Workspace &workspace, double units) {
-  Account.release(workspace, units, TimerService::now());
+  Client.release(workspace, units, TimerService::now());
 }
 
-void QuotaService::pumpSoon() {
-  // What comes in one turn of the loop goes in one message.
-  if (std::exchange(PumpDue, true))
+void QuotaService::flushSoon() {
+  // Requests that arrive in one iteration of the event loop go out in one
+  // message.
+  if (std::exchange(FlushDue, true))
     return;
-  Out.After(Span(0), [this, alive = Alive] {
+  Callbacks.After(Span(0), [this, alive = Alive] {
     if (*alive)
-      pump();
+      flush();
   });
 }
 
-void QuotaService::pump() {
-  PumpDue = false;
-  for (const auto &it : Account.takeRequests(TimerService::now()))
-    sendAsks(it);
+void QuotaService::flush() {
+  FlushDue = false;
+  for (const auto &it : Client.takeRequests(TimerService::now()))
+    sendRequests(it);
 }
 
-void QuotaService::sendAsks(const QuotaClient::Message &message) {
+void QuotaService::sendRequests(const QuotaClient::Message &message) {
   auto now = TimerService::now();
   if (auto grants = grant(message.Cell, message.Requests)) {
-    decide(Account.onGrants(message.Cell, message.Number, *grants, now));
-    return pumpSoon();
+    deliver(Client.onGrants(message.Cell, message.Number, *grants, now));
+    return flushSoon();
   }
-  auto &way = Ways[message.Cell];
-  way.UsedAt = now;
+  auto &owner = OwnerStreams[message.Cell];
+  owner.UsedAt = now;
   auto text = pack(messageOf(message));
-  Traffic.add(PeerMessage::QuotaAsk, message.Cell == Own, text.size());
-  bool same = way.Stream && way.Address == Out.OwnerOf(message.Cell);
-  if (same)
-    return way.Stream->send(std::move(text));
-  closeWay(way);
-  if (openWay(message.Cell, way, std::move(text)))
+  Traffic.add(PeerMessage::QuotaRequest, message.Cell == OwnCell, text.size());
+  bool isCurrent =
+      owner.Stream && owner.Address == Callbacks.OwnerOf(message.Cell);
+  if (isCurrent)
+    return owner.Stream->send(std::move(text));
+  closeStream(owner);
+  if (openStream(message.Cell, owner, std::move(text)))
     return;
-  decide(Account.onServerLost(message.Cell, now));
-  pumpSoon();
+  deliver(Client.onServerLost(message.Cell, now));
+  flushSoon();
 }
 
-bool QuotaService::openWay(const std::string &cell, Way &way,
-                           std::string first) {
-  way.Address = Out.OwnerOf(cell);
-  if (way.Address.empty() || !Net)
+bool QuotaService::openStream(const std::string &cell, OwnerStream &owner,
+                              std::string first) {
+  owner.Address = Callbacks.OwnerOf(cell);
+  if (owner.Address.empty() || !Net)
     return false;
   PeerHooks hooks;
   auto self = std::make_shared<std::weak_ptr<PeerStream>>();
@@ -97,21 +98,21 @@
   hooks.OnClosed = [this, alive = Alive, cell, self](bool) {
     if (!*alive)
       return;
-    auto &its = Ways[cell];
-    if (!its.Stream || self->lock() != its.Stream)
+    auto &current = OwnerStreams[cell];
+    if (!current.Stream || self->lock() != current.Stream)
       return;
-    its.Stream = nullptr;
-    decide(Account.onServerLost(cell, TimerService::now()));
-    pumpSoon();
+    current.Stream = nullptr;
+    deliver(Client.onServerLost(cell, TimerService::now()));
+    flushSoon();
   };
-  way.Stream = Net->open(way.Address, std::string(peer_path::Quota) + cell,
-                         std::move(first), std::move(hooks));
-  *self = way.Stream;
+  owner.Stream = Net->open(owner.Address, std::string(peer_path::Quota) + cell,
+                           std::move(first), std::move(hooks));
+  *self = owner.Stream;
   return true;
 }
 
-void QuotaService::closeWay(Way &way) {
-  auto stream = std::exchange(way.Stream, nullptr);
+void QuotaService::closeStream(OwnerStream &owner) {
+  auto stream = std::exchange(owner.Stream, nullptr);
   if (!stream)
     return;
   stream->OnClosed = nullptr;
@@ -126,12 +127,12 @@
               {{"what", "quota grants"}, {"cell", cell}});
     return;
   }
-  decide(Account.onGrants(cell, reply->Number, grantsOf(*reply),
+  deliver(Client.onGrants(cell, reply->Number, grantsOf(*reply),
                           TimerService::now()));
-  pumpSoon();
+  flushSoon();
 }
 
-void QuotaService::decide(std::span<const QuotaClient::Decision> decisions) {
+void QuotaService::deliver(std::span<const QuotaClient::Decision> decisions) {
   for (const auto &it : decisions) {
     auto node = Undecided.extract(it.Number);
     if (!node.empty())
@@ -139,40 +140,40 @@
   }
 }
 
-QuotaServer *QuotaService::keeperOf(const std::string &cell) {
-  auto epoch = Out.HeldEpoch(cell);
+QuotaServer *QuotaService::serverOf(const std::string &cell) {
+  auto epoch = Callbacks.HeldEpoch(cell);
   if (!epoch || !Plan)
     return nullptr;
-  auto &kept = Keepers[cell];
-  if (!kept.Keeper)
-    kept.Keeper = std::make_unique<QuotaServer>(cell, Setup);
-  if (kept.HeldSince != epoch) {
-    kept.HeldSince = epoch;
-    kept.Keeper->reset();
-    kept.Plan = nullptr;
+  auto &served = ServedCells[cell];
+  if (!served.Server)
+    served.Server = std::make_unique<QuotaServer>(cell, Options);
+  if (served.ServedEpoch != epoch) {
+    served.ServedEpoch = epoch;
+    served.Server->reset();
+    served.Plan = nullptr;
   }
-  if (kept.Plan != Plan) {
-    kept.Plan = Plan;
-    kept.Keeper->setLimits(Plan->workspaces(), Cells, TimerService::now());
+  if (served.Plan != Plan) {
+    served.Plan = Plan;
+    served.Server->setLimits(Plan->workspaces(), Cells, TimerService::now());
     Log.write(
         LogClass::State, "quota-keeper",
         {{"cell", cell},
          {"epoch", epoch},
          {"plan", Plan->version()},
-         {"workspaces", static_cast<std::uint64_t>(kept.Keeper->size())}});
+         {"workspaces", static_cast<std::uint64_t>(served.Server->size())}});
   }
-  return kept.Keeper.get();
+  return served.Server.get();
 }
 
 std::optional<std::vector<QuotaGrant>>
 QuotaService::grant(const std::string &cell,
-                    std::span<const QuotaRequest> asks) {
-  auto *keeper = keeperOf(cell);
-  if (!keeper)
+                    std::span<const QuotaRequest> requests) {
+  auto *server = serverOf(cell);
+  if (!server)
     return std::nullopt;
   std::vector<QuotaGrant> out;
-  for (const auto &it : asks)
-    out.push_back(keeper->onRequest(it, TimerService::now()));
+  for (const auto &it : requests)
+    out.push_back(server->onRequest(it, TimerService::now()));
   return out;
 }
 
@@ -180,30 +181,32 @@
                            const std::shared_ptr<PeerStream> &stream) {
   stream->OnMessage = [this, alive = Alive, cell,
                        weak = std::weak_ptr(stream)](std::string_view message) {
-    auto to = weak.lock();
-    if (!*alive || !to)
+    auto entry = weak.lock();
+    if (!*alive || !entry)
       return;
-    auto asked = unpack<QuotaRequestMessage>(message);
-    auto grants = asked ? grant(cell, requestsOf(*asked)) : std::nullopt;
-    // The entry asks another keeper, and looks who owns the cell.
+    auto request = unpack<QuotaRequestMessage>(message);
+    auto grants = request ? grant(cell, requestsOf(*request)) : std::nullopt;
+    // The entry then requests from another server, and determines the cell's
+    // owner again.
     if (!grants)
-      return to->close();
-    auto text = pack(messageOf(asked->Number, *grants));
-    Traffic.add(PeerMessage::QuotaGrant, cell == Own, text.size());
-    to->send(std::move(text));
+      return entry->close();
+    auto text = pack(messageOf(request->Number, *grants));
+    Traffic.add(PeerMessage::QuotaGrant, cell == OwnCell, text.size());
+    entry->send(std::move(text));
   };
 }
 
 void QuotaService::tick() {
   auto now = TimerService::now();
-  // A bucket fills from when its cell is taken, not from the first ask.
+  // A bucket fills from when its cell is taken over, not from the first
+  // request.
   for (const auto &cell : Cells)
-    keeperOf(cell);
-  decide(Account.tick(now));
-  for (auto &[cell, way] : Ways)
-    if (way.Stream && now - way.UsedAt > WayRests)
-      closeWay(way);
-  pumpSoon();
+    serverOf(cell);
+  deliver(Client.tick(now));
+  for (auto &[cell, owner] : OwnerStreams)
+    if (owner.Stream && now - owner.UsedAt > StreamIdleTimeout)
+      closeStream(owner);
+  flushSoon();
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Gateway/QuotaService.h
+++ b/Programs/hemlockgladed/Gateway/QuotaService.h
@@ -10,12 +10,13 @@
 
 namespace hemlockglade {
 
-/// A node's part in the workspaces' limits: as an entry it books requests, as
-/// the owner of cells it keeps their parts and grants what entries ask for.
+/// A node's part in the workspaces' limits: as an entry it reserves for
+/// requests, as the owner of cells it keeps the cells' parts of the limits and
+/// grants what entries request.
 class QuotaService {
 public:
   struct Hooks {
-    /// `ip:port` of the cell's owner; empty if nobody is known.
+    /// `ip:port` of the cell's owner; empty if none is known.
     std::function<std::string(const std::string &cell)> OwnerOf;
     /// Epoch under which this node holds the cell's lease at this moment; 0 if
     /// it does not.
@@ -23,7 +24,7 @@
     std::function<void(Span, std::function<void()>)> After;
   };
   using Verdict = QuotaClient::Verdict;
-  /// Called once, from the function that books or later.
+  /// Called once, from within `reserve` or later.
   using OnDecided = std::function<void(Verdict what, Span retryAfter)>;
 
   QuotaService(std::vector<std::string> cells, std::string own,
@@ -33,10 +34,11 @@
   QuotaService(const QuotaService &) = delete;
   QuotaService &operator=(const QuotaService &) = delete;
 
-  /// The node listens for peers, and reaches them, from now on.
+  /// Sets the network for messages to other nodes; no request leaves this node
+  /// before.
   void attach(PeerNet &net) { Net = &net; }
   void setPlan(std::shared_ptr<const RoutePlan> plan);
-  void setEntries(std::size_t entries) { Account.setEntries(entries); }
+  void setEntries(std::size_t entries) { Client.setEntries(entries); }
 
   void reserve(const Workspace &workspace, double units, OnDecided decided);
   void charge(const Workspace &workspace, double units);
@@ -44,51 +46,53 @@
 
   /// Does what is due; to be called about every 50 ms.
   void tick();
-  /// An entry opened a stream to ask for grants of a cell.
+  /// Called when an entry has opened a stream to request grants of a cell.
   void onEntry(const std::string &cell,
                const std::shared_ptr<PeerStream> &stream);
 
 private:
-  /// The way to a cell's owner.
-  struct Way {
+  /// The stream to a cell's owner.
+  struct OwnerStream {
     std::shared_ptr<PeerStream> Stream;
     std::string Address;
     Instant UsedAt{};
   };
-  /// What this node keeps of a cell's limits, while it holds the lease.
-  struct Kept {
-    std::unique_ptr<QuotaServer> Keeper;
-    Epoch HeldSince = 0;
+  /// A cell's quota server and what it was set up with, while this node holds
+  /// the lease.
+  struct ServedCell {
+    std::unique_ptr<QuotaServer> Server;
+    Epoch ServedEpoch = 0;
     std::shared_ptr<const RoutePlan> Plan;
   };
 
-  /// Sends what is due, and takes what this node grants itself.
-  void pump();
-  void pumpSoon();
-  void sendAsks(const QuotaClient::Message &message);
-  bool openWay(const std::string &cell, Way &way, std::string first);
+  /// Sends the requests that are due, and applies what this node grants itself.
+  void flush();
+  void flushSoon();
+  void sendRequests(const QuotaClient::Message &message);
+  bool openStream(const std::string &cell, OwnerStream &owner,
+                  std::string first);
   void onOwnerMessage(const std::string &cell, std::string_view message);
-  void closeWay(Way &way);
-  void decide(std::span<const QuotaClient::Decision> decisions);
-  /// The keeper of a cell; null if this node does not hold its lease.
-  QuotaServer *keeperOf(const std::string &cell);
+  void closeStream(OwnerStream &owner);
+  void deliver(std::span<const QuotaClient::Decision> decisions);
+  /// The quota server of a cell; null if this node does not hold its lease.
+  QuotaServer *serverOf(const std::string &cell);
   std::optional<std::vector<QuotaGrant>>
-  grant(const std::string &cell, std::span<const QuotaRequest> asks);
+  grant(const std::string &cell, std::span<const QuotaRequest> requests);
 
   const std::vector<std::string> Cells;
-  const std::string Own;
-  const QuotaSettings Setup;
-  Hooks Out;
+  const std::string OwnCell;
+  const QuotaSettings Options;
+  Hooks Callbacks;
   PeerNet *Net = nullptr;
   PeerTraffic &Traffic;
   EventLog &Log;
-  QuotaClient Account;
+  QuotaClient Client;
   std::shared_ptr<const RoutePlan> Plan;
-  std::map<std::string, Way> Ways;
-  std::map<std::string, Kept> Keepers;
+  std::map<std::string, OwnerStream> OwnerStreams;
+  std::map<std::string, ServedCell> ServedCells;
   std::unordered_map<QuotaClient::Ticket, OnDecided> Undecided;
   QuotaClient::Ticket LastTicket = 0;
-  bool PumpDue = false;
+  bool FlushDue = false;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
--- a/UnitTests/Node/Gateway/CellMemberTest.cpp
+++ b/UnitTests/Node/Gateway/CellMemberTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// An owner that says what the test wants to one node that follows it.
+/// An owner that sends what the test wants to one node that follows it.
 struct ScriptedOwner {
   explicit ScriptedOwner(asio::io_context &context)
       : Net(context, "127.0.0.1", 0,
@@ -20,20 +20,20 @@
             false,
             true};
   }
-  /// Names the nodes in service; says nothing of them if there are none.
-  void tell(std::vector<EntryNotice> entries) const {
-    OwnerHeartbeat beat;
-    beat.EntriesChanged = !entries.empty();
-    beat.Entries = {{"hall-a", std::move(entries)}};
-    Stream->send(pack(beat));
+  /// Sends the nodes in service; sends no list if there are none.
+  void sendEntries(std::vector<EntryNotice> entries) const {
+    OwnerHeartbeat heartbeat;
+    heartbeat.EntriesChanged = !entries.empty();
+    heartbeat.Entries = {{"hall-a", std::move(entries)}};
+    Stream->send(pack(heartbeat));
   }
 
   std::shared_ptr<PeerStream> Stream;
   PeerNet Net;
 };
 
-/// Sets the hooks that most tests have no use for.
-void quiet(CellMember::Hooks &hooks, CrashCoordinator &crashes) {
+/// Sets hooks that most tests don't use to do nothing.
+void setDefaultHooks(CellMember::Hooks &hooks, CrashCoordinator &crashes) {
   hooks.Crashes = &crashes;
   hooks.OnChanged = [] {};
   hooks.Plan = [] { return nullptr; };
@@ -71,9 +71,9 @@
       asio::post(Context, [this, done] { done(Row.Fence + 1); });
     };
     hooks.Self = [this] {
-      return MemberNotice{"n", "p", "", "hall-a", true, 1, 1000, Awake};
+      return MemberNotice{"n", "p", "", "hall-a", true, 1, 1000, Active};
     };
-    quiet(hooks, Crashes);
+    setDefaultHooks(hooks, Crashes);
     hooks.OnUpdate = [this](const RegistryUpdate &, Instant sentAfter) {
       SentAfter = sentAfter;
     };
@@ -81,22 +81,22 @@
                                           Traffic, Log);
   }
 
-  /// Follows the owner that the row names.
+  /// Puts the owner into the lease row and waits until the node follows it.
   void follow(ScriptedOwner &owner, Epoch fence) {
     Row = owner.row(fence);
     REQUIRE(until([&] { return owner.Stream != nullptr; }));
   }
 
   std::size_t entries() const {
-    const auto *told = Member->servingEntries();
-    return told && !told->empty() ? told->front().Entries.size() : 0;
+    const auto *list = Member->servingEntries();
+    return list && !list->empty() ? list->front().Entries.size() : 0;
   }
 
-  /// Since when the owner's last news can have been on their way.
+  /// Earliest time at which the owner's last heartbeat can have been sent.
   std::optional<Instant> SentAfter;
-  /// The cell's lease as the table has it.
+  /// The cell's lease row in the table.
   CellLeaseRow Row;
-  bool Awake = true;
+  bool Active = true;
   EventLog Log;
   CrashCoordinator Crashes{{[](const auto &, auto) {}, [](Span, auto) {}, [] {},
                             [](const auto &) {}},
@@ -112,51 +112,53 @@
 
 } // namespace
 
-TEST_CASE("a new owner's silence about nodes does not bring back old ones",
+TEST_CASE("the previous owner's entries stay dropped until the new owner sends "
+          "its own",
           "[gateway]") {
   FollowerFixture it;
   ScriptedOwner first(it.Context);
   ScriptedOwner second(it.Context);
   it.follow(first, 1);
-  first.tell({{"n", ""}, {"gone", ""}});
+  first.sendEntries({{"n", ""}, {"gone", ""}});
   REQUIRE(it.until([&] { return it.entries() == 2; }));
   first.Stream->close();
   it.follow(second, 2);
-  second.tell({});
+  second.sendEntries({});
   REQUIRE(it.until([&] { return it.Member->isUpToDate(); }));
   it.settle();
   CHECK(it.Member->servingEntries() == nullptr);
-  second.tell({{"n", ""}});
+  second.sendEntries({{"n", ""}});
   REQUIRE(it.until([&] { return it.entries() == 1; }));
 }
 
-TEST_CASE("news that answer no question may have been on their way for long",
-          "[gateway]") {
+TEST_CASE(
+    "an update that echoes no heartbeat has no bound on its time in transit",
+    "[gateway]") {
   FollowerFixture it;
   ScriptedOwner owner(it.Context);
   it.follow(owner, 1);
   auto now = TimerService::now();
-  auto answers = GENERATE(as<Span>{}, Span(0), -std::chrono::seconds(2),
-                          std::chrono::hours(1));
-  OwnerHeartbeat beat;
-  beat.AnswersUs = answers == Span(0) ? 0 : (now + answers).count();
-  owner.Stream->send(pack(beat));
+  auto offset = GENERATE(as<Span>{}, Span(0), -std::chrono::seconds(2),
+                         std::chrono::hours(1));
+  OwnerHeartbeat heartbeat;
+  heartbeat.EchoedSentAtUs = offset == Span(0) ? 0 : (now + offset).count();
+  owner.Stream->send(pack(heartbeat));
   REQUIRE(it.until([&] { return it.SentAfter.has_value(); }));
-  if (answers == Span(0))
+  if (offset == Span(0))
     CHECK(*it.SentAfter == LongAgo);
-  else if (answers < Span(0))
-    CHECK(*it.SentAfter == now + answers);
+  else if (offset < Span(0))
+    CHECK(*it.SentAfter == now + offset);
   else
     CHECK(*it.SentAfter <= TimerService::now());
 }
 
-// The owner before may have been silent for seconds, and be among those that it
-// named.
-TEST_CASE("a new owner does not go by whom the one before named", "[gateway]") {
+// The previous owner may have been silent for seconds, and be among the nodes
+// that it listed.
+TEST_CASE("a new owner drops the entries of the previous owner", "[gateway]") {
   FollowerFixture it;
   ScriptedOwner first(it.Context);
   it.follow(first, 1);
-  first.tell({{"n", ""}, {"gone", ""}});
+  first.sendEntries({{"n", ""}, {"gone", ""}});
   REQUIRE(it.until([&] { return it.entries() == 2; }));
   first.Stream->close();
   it.Row.Released = true;
@@ -167,7 +169,8 @@
 
 namespace {
 
-/// A node on a weak host that owns the cell, and one that follows it.
+/// A node that owns the cell, on a weak host unless `OwnerIsStrong`, and nodes
+/// that follow it.
 struct OwnerFixture : Loopback {
   OwnerFixture()
       : Log(
@@ -181,9 +184,9 @@
     settings.Lease.Holder = "n";
     settings.Lease.Incarnation = "p";
     settings.Lease.Address = "10.0.0.1:7";
-    settings.NearerReady = std::chrono::milliseconds(100);
+    settings.BetterOwnerDelay = std::chrono::milliseconds(100);
     settings.HeartbeatInterval = std::chrono::milliseconds(30);
-    settings.EntrySelectionDelay = Settles;
+    settings.EntrySelectionDelay = SelectionDelay;
     CellMember::Hooks hooks;
     hooks.Table.Get = [this](const std::string &key, auto done) {
       asio::post(Context, [this, key, done] {
@@ -191,7 +194,7 @@
             Other ? std::optional(TableRow{key, OtherVersion, Other->text()})
                   : std::nullopt;
         done(std::move(row));
-        for (const auto &it : std::exchange(Later, {}))
+        for (const auto &it : std::exchange(HeldCalls, {}))
           it();
       });
     };
@@ -204,15 +207,15 @@
       Row = CellLeaseRow::parse(*it.Writes.front().Value);
       asio::post(Context, [this, done] { done(++Version); });
     };
-    hooks.Self = [this] { return node("n", OwnerStrong); };
-    quiet(hooks, Crashes);
+    hooks.Self = [this] { return node("n", OwnerIsStrong); };
+    setDefaultHooks(hooks, Crashes);
     hooks.Leases = [] {
       return std::vector<std::pair<std::string, std::string>>{
           {"hall-b", "b p 10.0.0.9:7 3 0 1"}};
     };
     hooks.After = [this](Span delay, std::function<void()> call) {
-      if (Holds) {
-        Later.push_back(std::move(call));
+      if (HoldsCalls) {
+        HeldCalls.push_back(std::move(call));
         return;
       }
       Timers.after(delay, [call = std::move(call)](Instant) { call(); });
@@ -222,7 +225,7 @@
   }
 
   static MemberNotice node(const std::string &name, bool strong,
-                           bool awake = true) {
+                           bool active = true) {
     return {name,
             "p",
             name + ":80",
@@ -230,40 +233,40 @@
             true,
             strong ? 0.5 : 0.1,
             strong ? 200.0 : 20.0,
-            awake};
+            active};
   }
 
-  /// Another node follows; what it hears is kept.
+  /// Has another node follow; the heartbeats that it receives are kept.
   std::shared_ptr<PeerStream> follow(const MemberNotice &self,
                                      double requestsPerSecond = 0) {
-    NodeHeartbeat beat;
-    beat.Self = self;
-    beat.RequestsPerSecond = requestsPerSecond;
+    NodeHeartbeat heartbeat;
+    heartbeat.Self = self;
+    heartbeat.RequestsPerSecond = requestsPerSecond;
     PeerHooks hooks;
     hooks.OnMessage = [this, name = self.Node](std::string_view message) {
-      if (auto told = unpack<OwnerHeartbeat>(message))
-        Heard[name].push_back(*told);
+      if (auto received = unpack<OwnerHeartbeat>(message))
+        Received[name].push_back(*received);
     };
     return OtherNet.open(address(Net.port()),
-                         std::string(peer_path::Cell) + "hall-a", pack(beat),
-                         std::move(hooks));
+                         std::string(peer_path::Cell) + "hall-a",
+                         pack(heartbeat), std::move(hooks));
   }
 
   std::size_t entries() const {
-    const auto *told = Member->servingEntries();
-    return told && !told->empty() ? told->front().Entries.size() : 0;
+    const auto *list = Member->servingEntries();
+    return list && !list->empty() ? list->front().Entries.size() : 0;
   }
 
   static constexpr std::uint64_t OtherVersion = 1000;
-  /// The lease as another node has taken it.
+  /// The lease row as another node has taken it over.
   std::optional<CellLeaseRow> Other;
-  /// What is to be done later is kept until the row has been read again.
-  bool Holds = false;
-  std::vector<std::function<void()>> Later;
+  /// Delayed calls are kept until the row has been read again.
+  bool HoldsCalls = false;
+  std::vector<std::function<void()>> HeldCalls;
 
-  static constexpr Span Settles = std::chrono::milliseconds(100);
+  static constexpr Span SelectionDelay = std::chrono::milliseconds(100);
 
-  bool OwnerStrong = false;
+  bool OwnerIsStrong = false;
   std::uint64_t Version = 0;
   std::optional<CellLeaseRow> Row;
   EventLog Log;
@@ -275,7 +278,7 @@
   std::unique_ptr<CellMember> Member;
   PeerNet Net;
   PeerNet OtherNet;
-  std::map<std::string, std::vector<OwnerHeartbeat>> Heard;
+  std::map<std::string, std::vector<OwnerHeartbeat>> Received;
   TimerService Timers{Context};
   TimerService::Subscription Ticking = Timers.every(
       std::chrono::milliseconds(10), [this](Instant) { Member->tick(); });
@@ -290,36 +293,40 @@
   REQUIRE(it.until([&] { return it.Row && it.Row->Released; }));
 }
 
-TEST_CASE("an owner's beats say which of a node's beats they answer",
-          "[gateway]") {
+TEST_CASE(
+    "an owner's heartbeats echo the time of the node's last regular heartbeat",
+    "[gateway]") {
   OwnerFixture it;
-  it.OwnerStrong = true;
+  it.OwnerIsStrong = true;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto node = it.follow(OwnerFixture::node("m", false));
-  auto answered = [&](std::int64_t sentAt) {
-    auto &heard = it.Heard["m"];
-    return std::any_of(heard.begin(), heard.end(), [sentAt](const auto &beat) {
-      return beat.AnswersUs == sentAt;
-    });
+  auto echoed = [&](std::int64_t sentAt) {
+    auto &received = it.Received["m"];
+    return std::any_of(received.begin(), received.end(),
+                       [sentAt](const auto &heartbeat) {
+                         return heartbeat.EchoedSentAtUs == sentAt;
+                       });
   };
-  NodeHeartbeat beat;
-  beat.Self = OwnerFixture::node("m", false);
-  beat.SentAtUs = 7;
-  node->send(pack(beat));
-  REQUIRE(it.until([&] { return answered(7); }));
-  // A brief one has no time of its own.
+  NodeHeartbeat heartbeat;
+  heartbeat.Self = OwnerFixture::node("m", false);
+  heartbeat.SentAtUs = 7;
+  node->send(pack(heartbeat));
+  REQUIRE(it.until([&] { return echoed(7); }));
+  // A brief notice has no time of its own.
   NodeHeartbeat brief;
   brief.Brief = true;
   node->send(pack(brief));
-  auto heard = it.Heard["m"].size();
-  REQUIRE(it.until([&] { return it.Heard["m"].size() > heard + 2; }));
-  CHECK(it.Heard["m"].back().AnswersUs == 7);
+  auto received = it.Received["m"].size();
+  REQUIRE(it.until([&] { return it.Received["m"].size() > received + 2; }));
+  CHECK(it.Received["m"].back().EchoedSentAtUs == 7);
 }
 
-TEST_CASE("a cell stays where nobody is better", "[gateway]") {
+TEST_CASE(
+    "an owner keeps its cell while no follower is on a much stronger host",
+    "[gateway]") {
   OwnerFixture it;
   bool strong = GENERATE(true, false);
-  it.OwnerStrong = strong;
+  it.OwnerIsStrong = strong;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto other = it.follow(OwnerFixture::node("m", strong));
   REQUIRE(it.until([&] { return it.entries() == 2; }));
@@ -331,38 +338,40 @@
   CHECK_FALSE(it.Row->Released);
 }
 
-TEST_CASE("a node that stands by hears who serves and who has other cells, not "
-          "what engines do",
-          "[gateway]") {
+TEST_CASE(
+    "a standby node receives entries and other cells' leases, but no notices "
+    "of requests",
+    "[gateway]") {
   OwnerFixture it;
-  it.OwnerStrong = true;
+  it.OwnerIsStrong = true;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
-  auto awake = it.follow(OwnerFixture::node("m", true));
-  auto waits = it.follow(OwnerFixture::node("w", false, false));
+  auto active = it.follow(OwnerFixture::node("m", true));
+  auto standby = it.follow(OwnerFixture::node("w", false, false));
   REQUIRE(it.until([&] { return it.entries() == 3; }));
   it.Member->onSent("engine", 100, WeightsRef::parse("m/a"));
-  auto sentTold = [&](const std::string &to) {
-    return std::any_of(it.Heard[to].begin(), it.Heard[to].end(),
+  auto receivedSent = [&](const std::string &to) {
+    return std::any_of(it.Received[to].begin(), it.Received[to].end(),
                        [](const auto &at) { return !at.Sent.empty(); });
   };
-  REQUIRE(it.until([&] { return sentTold("m"); }));
-  auto heard = it.Heard["w"].size();
-  REQUIRE(it.until([&] { return it.Heard["w"].size() > heard + 1; }));
-  CHECK_FALSE(sentTold("w"));
-  bool rosters = false;
-  bool leases = false;
-  for (const auto &at : it.Heard["w"]) {
-    rosters = rosters || at.EntriesChanged;
-    leases = leases || !at.Leases.empty();
+  REQUIRE(it.until([&] { return receivedSent("m"); }));
+  auto received = it.Received["w"].size();
+  REQUIRE(it.until([&] { return it.Received["w"].size() > received + 1; }));
+  CHECK_FALSE(receivedSent("w"));
+  bool hasEntries = false;
+  bool hasLeases = false;
+  for (const auto &at : it.Received["w"]) {
+    hasEntries = hasEntries || at.EntriesChanged;
+    hasLeases = hasLeases || !at.Leases.empty();
   }
-  CHECK(rosters);
-  CHECK(leases);
+  CHECK(hasEntries);
+  CHECK(hasLeases);
 }
 
-TEST_CASE("an owner names the strongest and more of them as load rises",
-          "[gateway]") {
+TEST_CASE(
+    "an owner selects the strongest nodes, and more of them as load rises",
+    "[gateway]") {
   OwnerFixture it;
-  it.OwnerStrong = true;
+  it.OwnerIsStrong = true;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   constexpr int Nodes = 8;
   std::vector<std::shared_ptr<PeerStream>> open;
@@ -376,20 +385,21 @@
   REQUIRE(it.until([&] { return it.entries() > 5; }));
 }
 
-// All callers of a failure domain would go to the one node that it knows.
-TEST_CASE("a new owner names nobody before its nodes can have found it",
+// All callers of a failure domain would be sent to the one node that the owner
+// has.
+TEST_CASE("a new owner lists no entries before its nodes can have connected",
           "[gateway]") {
   OwnerFixture it;
-  it.OwnerStrong = true;
+  it.OwnerIsStrong = true;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
-  auto owns = TimerService::now();
+  auto ownsSince = TimerService::now();
   REQUIRE(it.until([&] { return it.entries() > 0; }));
-  CHECK(TimerService::now() - owns >= OwnerFixture::Settles / 2);
+  CHECK(TimerService::now() - ownsSince >= OwnerFixture::SelectionDelay / 2);
 }
 
-TEST_CASE("a node that is gone is no longer named", "[gateway]") {
+TEST_CASE("a node whose stream has closed is no longer listed", "[gateway]") {
   OwnerFixture it;
-  it.OwnerStrong = true;
+  it.OwnerIsStrong = true;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto other = it.follow(OwnerFixture::node("m", true));
   REQUIRE(it.until([&] { return it.entries() == 2; }));
@@ -397,21 +407,22 @@
   REQUIRE(it.until([&] { return it.entries() == 1; }));
 }
 
-// A follower that hears the new holder's version with nothing left of its time
-// takes the lease from it at once.
-TEST_CASE("a node that finds its lease lost says nothing of the next holder's",
-          "[gateway]") {
+// A follower that received the new holder's version with no remaining time
+// would take the lease from it at once.
+TEST_CASE(
+    "an owner that has lost its lease does not send the next holder's version",
+    "[gateway]") {
   OwnerFixture it;
-  it.OwnerStrong = true;
+  it.OwnerIsStrong = true;
   REQUIRE(it.until([&] { return it.Member->isOwner(); }));
   auto follower = it.follow(OwnerFixture::node("m", true));
   REQUIRE(it.until([&] { return it.entries() == 2; }));
-  it.Holds = true;
+  it.HoldsCalls = true;
   it.Member->onSent("engine", 100, WeightsRef::parse("m/a"));
   it.Other = CellLeaseRow{"m", "q", "10.0.0.2:7", 9, false, false};
   REQUIRE(it.until([&] { return !it.Member->isOwner(); }));
   it.settle();
-  for (const auto &at : it.Heard["m"])
+  for (const auto &at : it.Received["m"])
     CHECK(at.LeaseVersion < OwnerFixture::OtherVersion);
 }
 
--- a/UnitTests/Node/Gateway/CrashingRequestTest.cpp
+++ b/UnitTests/Node/Gateway/CrashingRequestTest.cpp
@@ -1,13 +1,11 @@
-// What users saw: engines of one service ended one after the other, for over a
-// minute, and their other requests with them. The order of events: a request
-// makes the engine that begins to run it end; the node sends it to the next
-// one; the caller, who got a failure, sends it again, to any node and under
-// another id; and so on. The cause: what ended under a request was forgotten
-// with each attempt of its caller, and never told to other nodes; a connection
-// that broke spoke against the replica only. The evidence: in the log of each
-// end, an attempt for the same weights over the same route had just been sent
-// and had given nothing; played here, one request ended 6 of 8 replicas over
-// one node, and a node that had seen none of three ends sent it on.
+// Guards against one request that ends engine after engine of a service, and
+// other requests with them: the engine ends when it begins to run the request,
+// the node sends it to the next one, and the caller retries the failure at any
+// node and under another id. It happened because what had ended under a request
+// was forgotten with each attempt of its caller and was not sent to other
+// nodes, and a broken connection counted against the replica only. One request
+// could end most replicas of a service over one node, and a node that had seen
+// none of three ends sent it on.
 
 #include "UnitTests/Node/Gateway/GatewayRig.h"
 
@@ -16,8 +14,8 @@
 namespace {
 
 constexpr std::string_view Crashing = "/x/crashing";
-/// Replicas that one request may crash before it is sent to no other.
-constexpr int MostCrashed = 3;
+/// Number of replicas that one request may crash before it is barred.
+constexpr int MaxCrashed = 3;
 
 /// Replicas that end when they run one request, and serve all others.
 struct CrashingFixture : GatewayFixture {
@@ -43,17 +41,18 @@
                       [](const auto &it) { return it->Crashed; }));
   }
 
-  /// The request comes to a node, under an id of its own.
-  std::string askAgain(const std::string &node) {
-    return ask(node, std::string(Crashing), "r" + std::to_string(++Asked));
+  /// Sends the crashing request to a node, under an id of its own.
+  std::string sendCrashing(const std::string &node) {
+    return ask(node, std::string(Crashing),
+               "r" + std::to_string(++RequestCount));
   }
 
-  void pass(Span span) {
+  void runFor(Span span) {
     auto end = TimerService::now() + span;
     until([end] { return TimerService::now() >= end; });
   }
 
-  /// One more node, which shares platform and peers with the others.
+  /// Starts one more node, which shares platform and peers with the others.
   void addNode() {
     auto ports = freePorts(4);
     auto settings = Settings;
@@ -72,8 +71,8 @@
     for (int it = 0; it < n; ++it)
       addNode();
     REQUIRE(until([&] { return allReady(); }));
-    // One takes the cell, the others find it.
-    REQUIRE(until([&] { return lines("owner-heard") == n - 1; }));
+    // One node takes the cell's lease, the others find it.
+    REQUIRE(until([&] { return countLines("owner-heard") == n - 1; }));
   }
 
   bool allReady() const {
@@ -83,7 +82,7 @@
   std::string callerAddress(std::size_t node) const {
     return Nodes[node]->settings().CallerAddress;
   }
-  int lines(const std::string &event) const {
+  int countLines(const std::string &event) const {
     return static_cast<int>(
         std::count_if(Lines.begin(), Lines.end(), [&event](const auto &it) {
           return it.find("\"" + event + "\"") != std::string::npos;
@@ -92,10 +91,10 @@
 
   std::vector<std::unique_ptr<ScriptedReplica>> Replicas;
   std::vector<std::unique_ptr<Gateway>> Nodes;
-  int Asked = 0;
+  int RequestCount = 0;
 };
 
-/// Replicas whose end a look at their address does not show.
+/// Replicas whose end a probe of their address does not show.
 struct HiddenEndFixture : CrashingFixture {
   HiddenEndFixture() : CrashingFixture(RouteKind::RunOnce) {
     for (const auto &replica : Replicas)
@@ -105,23 +104,24 @@
       };
   }
 
-  /// The entries of replicas that have ended go.
-  void removeCrashed() {
+  /// Removes the registry entries of replicas that have ended.
+  void removeCrashedEntries() {
     for (std::size_t n = 0; n < Replicas.size(); ++n)
       if (Replicas[n]->Crashed)
         Platform.removeReplica("i-" + std::to_string(n + 1));
   }
 
-  /// Whether the node has heard that all of these are gone.
-  bool heardOfCrashed() const {
+  /// Whether the node has logged that all of them were removed.
+  bool sawCrashedRemoved() const {
     return std::all_of(Platform.Replicas.Removed.begin(),
                        Platform.Replicas.Removed.end(), [this](const auto &id) {
-                         return lines("replica-gone\",\"replica\":\"" + id) > 0;
+                         return countLines("replica-gone\",\"replica\":\"" +
+                                           id) > 0;
                        });
   }
 };
 
-bool has(const std::string &text, const std::string &part) {
+bool contains(const std::string &text, const std::string &part) {
   return text.find(part) != std::string::npos;
 }
 
@@ -133,115 +133,119 @@
   CrashingFixture it(kind);
   it.start();
   REQUIRE(it.untilReady());
-  std::string got;
-  for (int n = 0; n < 2 * MostCrashed; ++n)
-    got = it.askAgain(it.Settings.CallerAddress);
-  CHECK(it.crashed() == MostCrashed);
-  CHECK(has(got, "HTTP/1.1 503"));
-  CHECK(has(got, "Retry-After"));
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/x/other"), "hello"));
+  std::string answer;
+  for (int n = 0; n < 2 * MaxCrashed; ++n)
+    answer = it.sendCrashing(it.Settings.CallerAddress);
+  CHECK(it.crashed() == MaxCrashed);
+  CHECK(contains(answer, "HTTP/1.1 503"));
+  CHECK(contains(answer, "Retry-After"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/x/other"), "hello"));
 }
 
-TEST_CASE("crashes that several nodes saw are known to all of them",
+TEST_CASE("crashes that several nodes saw are shared by all of them",
           "[gateway]") {
   CrashingFixture it(RouteKind::RunOnce);
   it.startNodes(4);
-  for (std::size_t node = 0; node < MostCrashed; ++node)
-    it.askAgain(it.callerAddress(node));
-  REQUIRE(it.crashed() == MostCrashed);
-  it.pass(milliseconds(500));
-  CHECK(has(it.askAgain(it.callerAddress(3)), "HTTP/1.1 503"));
-  CHECK(it.crashed() == MostCrashed);
+  for (std::size_t node = 0; node < MaxCrashed; ++node)
+    it.sendCrashing(it.callerAddress(node));
+  REQUIRE(it.crashed() == MaxCrashed);
+  it.runFor(milliseconds(500));
+  CHECK(contains(it.sendCrashing(it.callerAddress(3)), "HTTP/1.1 503"));
+  CHECK(it.crashed() == MaxCrashed);
 }
 
-TEST_CASE("a barred request stays so when all nodes have ended", "[gateway]") {
+TEST_CASE("a barred request stays barred after all nodes have restarted",
+          "[gateway]") {
   CrashingFixture it(RouteKind::RunOnce);
   it.startNodes(2);
-  for (int n = 0; n < MostCrashed; ++n)
-    it.askAgain(it.callerAddress(0));
-  REQUIRE(it.crashed() == MostCrashed);
-  // The next renewal of the lease takes it to the table.
-  auto noted = [](const auto &row) {
+  for (int n = 0; n < MaxCrashed; ++n)
+    it.sendCrashing(it.callerAddress(0));
+  REQUIRE(it.crashed() == MaxCrashed);
+  // The next renewal of the lease writes it to the table.
+  auto hasNotes = [](const auto &row) {
     auto parsed = CellLeaseRow::parse(row.second.Value);
     return parsed && !parsed->Notes.empty();
   };
   REQUIRE(it.until([&] {
-    return std::any_of(it.Platform.Rows.begin(), it.Platform.Rows.end(), noted);
+    return std::any_of(it.Platform.Rows.begin(), it.Platform.Rows.end(),
+                       hasNotes);
   }));
-  // Nothing is left of the nodes but what the table holds.
+  // Only the rows of the table remain of the nodes.
   CrashingFixture after(RouteKind::RunOnce);
   after.Platform.Rows = it.Platform.Rows;
   after.Platform.RowVersion = it.Platform.RowVersion;
   after.startNodes(1);
-  REQUIRE(after.until([&] { return after.lines("request-barred") == 1; }));
-  CHECK(has(after.askAgain(after.callerAddress(0)), "HTTP/1.1 503"));
+  REQUIRE(after.until([&] { return after.countLines("request-barred") == 1; }));
+  CHECK(contains(after.sendCrashing(after.callerAddress(0)), "HTTP/1.1 503"));
   CHECK(after.crashed() == 0);
 }
 
-TEST_CASE("an end that a look did not show counts when the entry goes",
+TEST_CASE("an end that a probe did not show counts when the entry is removed",
           "[gateway]") {
   HiddenEndFixture it;
   it.start();
   REQUIRE(it.untilReady());
-  for (int n = 1; n <= MostCrashed; ++n) {
-    it.askAgain(it.Settings.CallerAddress);
+  for (int n = 1; n <= MaxCrashed; ++n) {
+    it.sendCrashing(it.Settings.CallerAddress);
     REQUIRE(it.crashed() == n);
-    it.removeCrashed();
-    REQUIRE(it.until([&] { return it.heardOfCrashed(); }));
+    it.removeCrashedEntries();
+    REQUIRE(it.until([&] { return it.sawCrashedRemoved(); }));
   }
-  CHECK(has(it.askAgain(it.Settings.CallerAddress), "HTTP/1.1 503"));
-  CHECK(it.crashed() == MostCrashed);
+  CHECK(contains(it.sendCrashing(it.Settings.CallerAddress), "HTTP/1.1 503"));
+  CHECK(it.crashed() == MaxCrashed);
 }
 
-TEST_CASE("entries that stay away after an outage of the registry are ends",
-          "[gateway]") {
+TEST_CASE(
+    "entries that do not return after an outage of the registry count as ends",
+    "[gateway]") {
   HiddenEndFixture it;
-  bool readsAnew = GENERATE(false, true);
+  bool losesHistory = GENERATE(false, true);
   it.start();
   REQUIRE(it.untilReady());
-  while (it.crashed() < MostCrashed)
-    it.askAgain(it.Settings.CallerAddress);
+  while (it.crashed() < MaxCrashed)
+    it.sendCrashing(it.Settings.CallerAddress);
   it.Platform.goAway();
-  it.pass(milliseconds(500));
-  it.removeCrashed();
-  if (readsAnew)
+  it.runFor(milliseconds(500));
+  it.removeCrashedEntries();
+  if (losesHistory)
     it.Platform.loseHistory();
   it.Platform.Away = false;
-  // They might be back within some two seconds.
-  it.pass(milliseconds(4000));
-  CHECK(has(it.askAgain(it.Settings.CallerAddress), "HTTP/1.1 503"));
-  CHECK(it.crashed() == MostCrashed);
+  // For some two seconds the entries might return.
+  it.runFor(milliseconds(4000));
+  CHECK(contains(it.sendCrashing(it.Settings.CallerAddress), "HTTP/1.1 503"));
+  CHECK(it.crashed() == MaxCrashed);
 }
 
-TEST_CASE("a replica that ends under a request after its caller left counts",
-          "[gateway]") {
+TEST_CASE(
+    "a replica that ends under a request whose caller has disconnected counts",
+    "[gateway]") {
   CrashingFixture it(RouteKind::RunOnce);
   for (const auto &replica : it.Replicas)
     replica->Answer = nullptr;
   it.start();
   REQUIRE(it.untilReady());
-  for (int n = 0; n < MostCrashed; ++n) {
+  for (int n = 0; n < MaxCrashed; ++n) {
     RawPeer caller(it.Context);
     caller.connect(parseEndpoint(it.Settings.CallerAddress).port());
     caller.send("GET " + std::string(Crashing) +
                 " HTTP/1.1\r\nHost: a.example\r\nId: l" + std::to_string(n) +
                 "\r\n\r\n");
-    ScriptedReplica *runs = nullptr;
+    ScriptedReplica *runner = nullptr;
     REQUIRE(it.until([&] {
       for (const auto &replica : it.Replicas)
         if (!replica->Crashed && !replica->Requests.empty())
-          runs = replica.get();
-      return runs != nullptr;
+          runner = replica.get();
+      return runner != nullptr;
     }));
     caller.close();
-    REQUIRE(it.until([&] { return it.lines("end") == n + 1; }));
-    runs->crash();
-    it.pass(milliseconds(800));
+    REQUIRE(it.until([&] { return it.countLines("end") == n + 1; }));
+    runner->crash();
+    it.runFor(milliseconds(800));
   }
-  CHECK(has(it.askAgain(it.Settings.CallerAddress), "HTTP/1.1 503"));
+  CHECK(contains(it.sendCrashing(it.Settings.CallerAddress), "HTTP/1.1 503"));
 }
 
-TEST_CASE("connections that break at living replicas bar no request",
+TEST_CASE("connections that break at live replicas bar no request",
           "[gateway]") {
   CrashingFixture it(RouteKind::RunOnce, 1);
   int resets = 0;
@@ -251,32 +255,33 @@
   };
   it.start();
   REQUIRE(it.untilReady());
-  constexpr int Asks = 2 * MostCrashed;
-  for (int n = 0; n < Asks; ++n)
-    it.askAgain(it.Settings.CallerAddress);
-  CHECK(resets == Asks);
+  constexpr int Requests = 2 * MaxCrashed;
+  for (int n = 0; n < Requests; ++n)
+    it.sendCrashing(it.Settings.CallerAddress);
+  CHECK(resets == Requests);
 }
 
-TEST_CASE("a request that others have run well is not barred for failing hosts",
-          "[gateway]") {
-  // Many callers ask alike, while replicas end for reasons of their own.
+TEST_CASE(
+    "a request that other replicas have served is not barred for failing hosts",
+    "[gateway]") {
+  // Many callers send the same request, while replicas end for other reasons.
   CrashingFixture it(RouteKind::RunOnce);
-  int asked = 0;
+  int requestCount = 0;
   for (const auto &replica : it.Replicas)
-    replica->Answer = [&asked](const auto &) {
+    replica->Answer = [&requestCount](const auto &) {
       constexpr int EndEach = 2;
-      if (++asked % EndEach == 0)
+      if (++requestCount % EndEach == 0)
         return ScriptedReplica::Step{"", ScriptedReplica::Then::Crash};
       return ScriptedReplica::Step{
           "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"};
     };
   it.start();
   REQUIRE(it.untilReady());
-  std::string got;
-  for (int n = 0; n < 4 * MostCrashed + 1; ++n)
-    got = it.askAgain(it.Settings.CallerAddress);
-  CHECK(it.crashed() == 2 * MostCrashed);
-  CHECK(has(got, "hello"));
+  std::string answer;
+  for (int n = 0; n < 4 * MaxCrashed + 1; ++n)
+    answer = it.sendCrashing(it.Settings.CallerAddress);
+  CHECK(it.crashed() == 2 * MaxCrashed);
+  CHECK(contains(answer, "hello"));
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Node/Gateway/GatewayRig.h
+++ b/UnitTests/Node/Gateway/GatewayRig.h
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// A platform in memory, in terms of the product's hooks.
+/// An in-memory platform behind the product's hooks.
 struct GatewayPlatform {
   explicit GatewayPlatform(asio::io_context &context) : Context(context) {}
 
@@ -37,14 +37,14 @@
     tellWaiting();
   }
 
-  /// Operators name a version of weights.
+  /// Operators declare a version of weights.
   void name(const WeightsRef &weights, std::uint64_t version) {
     Declared.Versions.push_back({weights, version});
     ++Declared.Position;
     tellWaiting();
   }
 
-  /// Looks that wait for declarations are answered, unless they are lost.
+  /// Answers polls that wait for declarations, unless `Deaf`.
   void tellWaiting() {
     if (Deaf)
       return;
@@ -52,7 +52,7 @@
       answer(wait, Declared);
   }
 
-  /// The registry turns this node away from now on.
+  /// The registry refuses this node from now on.
   void goAway() {
     Away = true;
     for (const auto &wait : std::exchange(Waiting, {}))
@@ -78,14 +78,14 @@
     Replicas.Present.push_back(record);
   }
 
-  /// Its entry goes.
+  /// Removes a replica's entry.
   void removeReplica(const std::string &id) {
     std::erase_if(Replicas.Present,
                   [&id](const auto &it) { return it.Incarnation.id() == id; });
     Replicas.Removed.push_back(id);
   }
 
-  /// What is there has to be read anew.
+  /// The next poll for replicas fails, so that all of them must be read again.
   void loseHistory() {
     Replicas.Removed.clear();
     HistoryLost = true;
@@ -211,16 +211,16 @@
   ReplicaChanges Replicas;
   std::map<std::string, std::shared_ptr<const RoutePlan>> Known;
   std::vector<RegistryCallback<OperatorChanges>> Waiting;
-  /// Workspaces of the plans that are declared from now on.
+  /// Workspaces of plans that are declared afterwards.
   WorkspaceDirectory Workspaces;
-  /// What the service's engines are like; none if it runs no models.
+  /// The service's engines; none if it is a plain service.
   std::optional<EngineSpec> Engine;
-  /// What replicas hold that are registered from now on.
+  /// Weights held by replicas that are registered afterwards.
   HeldWeights Held;
   bool Away = false;
-  /// Looks that wait for declarations are not answered.
+  /// Polls that wait for declarations are not answered.
   bool Deaf = false;
-  /// Looks at declarations that did not wait.
+  /// Number of polls for declarations that did not wait.
   int LooksAtOnce = 0;
   bool HistoryLost = false;
   /// Whether the table answers, and what it holds.
@@ -248,8 +248,8 @@
     Settings.StopBound = milliseconds(1500);
   }
 
-  /// Ports that are free now, and stay so: connections of other processes get
-  /// theirs from above 32768.
+  /// Returns ports that are free now, and stay so: connections of other
+  /// processes get theirs from above 32768.
   std::vector<std::uint16_t> freePorts(std::size_t n) {
     constexpr int First = 16000;
     constexpr int Ports = 16000;
@@ -277,7 +277,7 @@
     return until([this] { return Node->ready(); });
   }
 
-  /// Sends a request on a connection of its own and gives what comes back.
+  /// Sends a request on a new connection and returns what comes back.
   std::string ask(const std::string &to, const std::string &path,
                   const std::string &id = "r1", const std::string &key = "") {
     RawPeer peer(Context);
@@ -300,7 +300,7 @@
   bool Stopped = false;
 };
 
-/// A node beside a first one, with a registry of its own that may be away.
+/// A second node, with a registry of its own that may be unreachable.
 struct SecondNode {
   explicit SecondNode(GatewayFixture &first)
       : Platform(first.Context), Settings(first.Settings) {
--- a/UnitTests/Node/Gateway/GatewayTest.cpp
+++ b/UnitTests/Node/Gateway/GatewayTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A settings file of a running node, with some lines of the test's own.
+/// A settings file of a running node, with extra lines for the test.
 struct SettingsFile {
   explicit SettingsFile(const GatewaySettings &settings) : Base(settings) {
     char name[] = "/tmp/gateway-settings-XXXXXX";
@@ -42,30 +42,30 @@
   std::string Path;
 };
 
-/// How late timers of a loop fired at most: what a busy machine takes from the
-/// node under test has to be given back to it in a verdict on time.
+/// Measures the maximum lateness of a loop's timers, so that checks on time can
+/// allow for the load of the machine.
 class LoopLag {
 public:
   explicit LoopLag(asio::io_context &context) : Timer(context) { tick(); }
-  Span most() const { return Most; }
+  Span max() const { return Max; }
 
 private:
   void tick() {
-    constexpr auto Every = std::chrono::milliseconds(5);
-    Timer.expires_after(Every);
-    Timer.async_wait([this, due = TimerService::now() + Every](auto ec) {
+    constexpr auto Interval = std::chrono::milliseconds(5);
+    Timer.expires_after(Interval);
+    Timer.async_wait([this, due = TimerService::now() + Interval](auto ec) {
       if (ec)
         return;
-      Most = std::max(Most, TimerService::now() - due);
+      Max = std::max(Max, TimerService::now() - due);
       tick();
     });
   }
 
   asio::steady_timer Timer;
-  Span Most{0};
+  Span Max{0};
 };
 
-bool has(const std::string &text, const std::string &part) {
+bool contains(const std::string &text, const std::string &part) {
   return text.find(part) != std::string::npos;
 }
 
@@ -73,20 +73,21 @@
 
 } // namespace
 
-TEST_CASE("a node that knows no plan says when to come back, never 404",
+TEST_CASE("a node without a plan answers 503 with Retry-After, never 404",
           "[gateway]") {
   GatewayFixture it;
   it.Platform.Away = true;
   it.start();
   it.settle();
   auto got = it.ask(it.Settings.CallerAddress, "/x/");
-  CHECK(has(got, "HTTP/1.1 503"));
-  CHECK(has(got, "Retry-After"));
-  CHECK(has(it.ask(it.Settings.ReadinessAddress, "/"), "HTTP/1.1 503"));
-  CHECK(has(it.ask(it.Settings.DirectoryAddress, "/hall-a"), "HTTP/1.1 503"));
+  CHECK(contains(got, "HTTP/1.1 503"));
+  CHECK(contains(got, "Retry-After"));
+  CHECK(contains(it.ask(it.Settings.ReadinessAddress, "/"), "HTTP/1.1 503"));
+  CHECK(contains(it.ask(it.Settings.DirectoryAddress, "/hall-a"),
+                 "HTTP/1.1 503"));
 }
 
-TEST_CASE("a node with plan and replicas is ready, listed and serves",
+TEST_CASE("a node with plan and replicas is ready, is listed and serves",
           "[gateway]") {
   GatewayFixture it;
   it.Platform.declare(1, "/x/");
@@ -94,12 +95,13 @@
   it.Replica.Script = {{Hello}};
   it.start();
   REQUIRE(it.untilReady());
-  CHECK(has(it.ask(it.Settings.ReadinessAddress, "/"), "HTTP/1.1 200"));
-  CHECK(has(it.ask(it.Settings.DirectoryAddress, "/hall-a"),
-            "<" + it.Settings.CallerAddress + ">"));
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/x/1"), "hello"));
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/y/1"), "HTTP/1.1 404"));
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/x/1", ""), "HTTP/1.1 400"));
+  CHECK(contains(it.ask(it.Settings.ReadinessAddress, "/"), "HTTP/1.1 200"));
+  CHECK(contains(it.ask(it.Settings.DirectoryAddress, "/hall-a"),
+                 "<" + it.Settings.CallerAddress + ">"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/x/1"), "hello"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/y/1"), "HTTP/1.1 404"));
+  CHECK(
+      contains(it.ask(it.Settings.CallerAddress, "/x/1", ""), "HTTP/1.1 400"));
 }
 
 TEST_CASE("a plan is only replaced by a higher version", "[gateway]") {
@@ -111,16 +113,17 @@
   REQUIRE(it.untilReady());
   it.Platform.declare(4, "/old/");
   it.settle();
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/old/"), "HTTP/1.1 404"));
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/x/"), "hello"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/old/"), "HTTP/1.1 404"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/x/"), "hello"));
   it.Platform.declare(9, "/new/");
   it.settle();
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/x/"), "HTTP/1.1 404"));
-  CHECK(has(it.ask(it.Settings.CallerAddress, "/new/"), "hello"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/x/"), "HTTP/1.1 404"));
+  CHECK(contains(it.ask(it.Settings.CallerAddress, "/new/"), "hello"));
 }
 
-TEST_CASE("a stop is not listed, finishes what runs, and ends in time",
-          "[gateway]") {
+TEST_CASE(
+    "a stopping node is not listed, finishes open requests and ends in time",
+    "[gateway]") {
   GatewayFixture it;
   it.Platform.declare(1, "/x/");
   it.Platform.registerReplica(it.Replica.address());
@@ -131,24 +134,25 @@
   peer.send("GET /x/ HTTP/1.1\r\nHost: a.example\r\nId: r1\r\n\r\n");
   REQUIRE(it.until([&] { return it.Replica.Requests.size() == 1; }));
   it.Node->stop();
-  CHECK(has(it.ask(it.Settings.ReadinessAddress, "/"), "HTTP/1.1 503"));
-  SECTION("what is answered in time") {
+  CHECK(contains(it.ask(it.Settings.ReadinessAddress, "/"), "HTTP/1.1 503"));
+  SECTION("requests are answered in time") {
     it.Replica.Script = {{Hello}, {Hello}};
-    // A request that comes meanwhile is served as well, and told to go.
+    // A request that arrives meanwhile is served as well, and its connection is
+    // closed.
     auto late = it.ask(it.Settings.CallerAddress, "/x/");
-    CHECK(has(late, "hello"));
-    CHECK(has(late, "Connection: close"));
+    CHECK(contains(late, "hello"));
+    CHECK(contains(late, "Connection: close"));
   }
-  SECTION("what is not") {}
+  SECTION("the request is not answered") {}
   REQUIRE(it.until([&] { return it.Stopped; }));
-  // It ended by itself, and cut the one request that nobody answered.
+  // The node ended by itself, and cut the one request that nobody answered.
   REQUIRE_FALSE(it.Lines.empty());
-  CHECK(has(it.Lines.back(), "\"event\":\"stopped\",\"cut\":1"));
-  // It was sent, so that nobody may say that it did not run.
-  CHECK(it.until([&] { return has(peer.Got, "HTTP/1.1 502"); }));
+  CHECK(contains(it.Lines.back(), "\"event\":\"stopped\",\"cut\":1"));
+  // The request was sent, so that no answer may claim that it did not run.
+  CHECK(it.until([&] { return contains(peer.Got, "HTTP/1.1 502"); }));
 }
 
-TEST_CASE("a node that gets SIGHUP reads its settings again", "[gateway]") {
+TEST_CASE("SIGHUP reloads the settings of a node", "[gateway]") {
   GatewayFixture it;
   it.Platform.declare(1, "/x/");
   it.Platform.registerReplica(it.Replica.address());
@@ -157,7 +161,7 @@
   SettingsFile file(it.Settings);
   GatewaySignals signals(it.Context, *it.Node, it.Log, file.Path);
   auto after = [&it](const std::string &text) {
-    return it.until([&] { return has(it.Lines.back(), text); });
+    return it.until([&] { return contains(it.Lines.back(), text); });
   };
   file.write("stop_bound_s: 3\n");
   ::raise(SIGHUP);
@@ -166,7 +170,7 @@
   file.write("stop_bound_s: soon\n");
   ::raise(SIGHUP);
   REQUIRE(after("\"event\":\"reload\",\"result\":\"refused\""));
-  CHECK(has(it.Lines.back(), "stop_bound_s"));
+  CHECK(contains(it.Lines.back(), "stop_bound_s"));
   CHECK(it.Node->settings().StopBound == std::chrono::seconds(3));
   CHECK(it.Node->ready());
   file.write("repeat_extra: 7\nseeds: [\"127.0.0.9:1\"]\n");
@@ -176,7 +180,7 @@
   CHECK(it.Node->settings().Seeds.size() == 1);
 }
 
-TEST_CASE("a node that gets SIGTERM stops", "[gateway]") {
+TEST_CASE("SIGTERM stops a node", "[gateway]") {
   GatewayFixture it;
   it.start();
   it.settle();
@@ -185,7 +189,7 @@
   CHECK(it.until([&] { return it.Stopped; }));
 }
 
-TEST_CASE("a SIGTERM before a node has set itself up stops it", "[gateway]") {
+TEST_CASE("SIGTERM during the setup of a node stops it", "[gateway]") {
   GatewayFixture it;
   SignalHold hold;
   // Without the hold this ends the whole test program.
@@ -197,7 +201,7 @@
   CHECK(it.until([&] { return it.Stopped; }));
 }
 
-TEST_CASE("a stop ends in its bound whatever goes on", "[gateway][stop]") {
+TEST_CASE("a stop ends within its bound in all conditions", "[gateway][stop]") {
   GatewayFixture it;
   it.Platform.declare(1, "/x/");
   it.Platform.registerReplica(it.Replica.address());
@@ -209,33 +213,33 @@
     peer.send("GET /x/ HTTP/1.1\r\nHost: a.example\r\nId: r1\r\n\r\n");
     REQUIRE(it.until([&] { return it.Replica.Requests.size() == 1; }));
   };
-  SECTION("a stream outlasts it") {
+  SECTION("a stream is still open") {
     it.Replica.Script = {{"HTTP/1.1 200 OK\r\nContent-Type: "
                           "text/event-stream\r\nTransfer-Encoding: "
                           "chunked\r\n\r\n9\r\ndata: 0\n\n\r\n"}};
     ask();
   }
-  SECTION("a replica is silent") { ask(); }
-  SECTION("the registry is away") {
+  SECTION("a replica does not answer") { ask(); }
+  SECTION("the registry is unreachable") {
     it.Platform.Away = true;
     ask();
   }
-  SECTION("it is told to stop again and again") {
+  SECTION("stop is called repeatedly") {
     ask();
     it.Node->stop();
     it.settle();
   }
-  SECTION("nothing runs") {}
+  SECTION("no request is open") {}
   auto began = TimerService::now();
   LoopLag lag(it.Context);
   it.Node->stop();
   it.Node->stop();
   REQUIRE(it.until([&] { return it.Stopped; }));
   // Two timers of the stop may each be late.
-  CHECK(TimerService::now() - began < it.Settings.StopBound + 2 * lag.most());
+  CHECK(TimerService::now() - began < it.Settings.StopBound + 2 * lag.max());
 }
 
-TEST_CASE("a stop with nothing to serve ends when no caller holds the address",
+TEST_CASE("a stop without open requests ends when no caller holds the address",
           "[gateway][stop]") {
   GatewayFixture it;
   it.Settings.StopBound = std::chrono::seconds(4);
@@ -247,13 +251,15 @@
   LoopLag lag(it.Context);
   it.Node->stop();
   REQUIRE(it.until([&] { return it.Stopped; }));
-  // Three times the time for which callers keep an answer of the directory
-  // takes 0.42 of the bound; the rest is for what still runs.
+  // Three times the time for which callers keep an answer of the directory is
+  // 0.42 of the bound; the rest is for requests that still run.
   CHECK(TimerService::now() - began <
-        it.Settings.StopBound / 2 + 2 * lag.most());
+        it.Settings.StopBound / 2 + 2 * lag.max());
 }
 
-TEST_CASE("a node that starts without the registry asks a peer", "[gateway]") {
+TEST_CASE(
+    "a node that starts without the registry requests a briefing from a peer",
+    "[gateway]") {
   GatewayFixture first;
   first.Platform.declare(3, "/x/");
   first.Platform.registerReplica(first.Replica.address());
@@ -264,12 +270,12 @@
   second.Platform.Known = first.Platform.Known;
   second.start(first);
   first.Replica.Script = {{Hello}};
-  CHECK(has(first.ask(second.Settings.CallerAddress, "/x/"), "hello"));
+  CHECK(contains(first.ask(second.Settings.CallerAddress, "/x/"), "hello"));
 }
 
-// A node that only the registry is out of reach of serves on; its callers see
-// what was confirmed meanwhile as soon as a peer can tell it.
-TEST_CASE("a node that the registry turns away hears of a plan from a peer",
+// A node that alone can't reach the registry continues to serve, and applies a
+// newer plan as soon as a peer can send it.
+TEST_CASE("a node that the registry refuses receives a plan from a peer",
           "[gateway]") {
   GatewayFixture first;
   first.Platform.declare(3, "/x/");
@@ -287,9 +293,9 @@
   second.Platform.Known = first.Platform.Known;
   first.Replica.Script = {{Hello}};
   bool served = false;
-  auto hangs = TimerService::now() + std::chrono::seconds(10);
-  while (!served && TimerService::now() < hangs)
-    served = has(first.ask(second.Settings.CallerAddress, "/y/"), " 200 ");
+  auto deadline = TimerService::now() + std::chrono::seconds(10);
+  while (!served && TimerService::now() < deadline)
+    served = contains(first.ask(second.Settings.CallerAddress, "/y/"), " 200 ");
   CHECK(served);
 }
 
