--- a/Hemlockglade/Protocol/Message/CrashMessages.h
+++ b/Hemlockglade/Protocol/Message/CrashMessages.h
@@ -6,27 +6,30 @@
 
 namespace hemlockglade {
 
+/// One end of a replica while a request was running on it.
 struct ReplicaCrashNotice {
   std::uint64_t Incarnation = 0;
-  /// How long ago the request was sent there, and the replica ended.
+  /// How long ago the request was sent to the replica, and the replica ended.
   std::int64_t SentAgeUs = 0;
   std::int64_t EndedAgeUs = 0;
   std::uint64_t Domain = 0;
   MSGPACK_DEFINE(Incarnation, SentAgeUs, EndedAgeUs, Domain)
 };
 
-/// What a node knows of a request that is suspected of crashing replicas.
+/// What a node has recorded of a request that is suspected of crashing
+/// replicas.
 struct CrashNotice {
   /// Text of the request's key.
   std::string Key;
   std::vector<ReplicaCrashNotice> Crashes;
-  /// How long ago it ran to its end; negative if it never did.
+  /// How long ago it was last served completely; negative if it never was.
   std::int64_t ServedAgeUs = -1;
   MSGPACK_DEFINE(Key, Crashes, ServedAgeUs)
 };
 
+/// Converts times to ages at `now`, since nodes' clocks differ.
 CrashNotice noticeOf(const CrashRecord &record, Instant now);
-/// Nothing if the notice names no request.
+/// Returns nothing if the notice's key is not valid.
 std::optional<CrashRecord> recordOf(const CrashNotice &notice, Instant now);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Message/MembershipMessages.h
+++ b/Hemlockglade/Protocol/Message/MembershipMessages.h
@@ -8,9 +8,9 @@
 
 namespace hemlockglade {
 
-// The membership's and the configuration's messages are the coordination
-// layer's own structs. Here each is tied to the order of its fields on the
-// wire; pack() and unpack() take them from there.
+// The messages of membership and configuration are structs of the coordination
+// layer. WireFields ties each of them to the order of its fields on the wire,
+// which pack() and unpack() use.
 
 namespace peer_path {
 /// One MemberMessage each way.
@@ -84,7 +84,7 @@
                                       T &value) const {
       if (in.type != msgpack::type::ARRAY)
         throw msgpack::type_error();
-      // Fields that an older sender doesn't know keep their defaults.
+      // Fields that an older sender does not send keep their defaults.
       std::uint32_t index = 0;
       auto read = [&](auto &field) {
         if (index < in.via.array.size)
--- a/Hemlockglade/Protocol/Message/PeerMessages.h
+++ b/Hemlockglade/Protocol/Message/PeerMessages.h
@@ -12,8 +12,8 @@
 
 /// Paths of the streams between nodes; each names one kind of exchange.
 namespace peer_path {
-/// An entry asks a cell's owner for admission. The stream stays open for as
-/// long as the request runs; its end gives the slot back.
+/// An entry requests admission from a cell's owner. The stream stays open for
+/// as long as the request runs; its end releases the slot.
 inline constexpr std::string_view Admit = "/admit";
 } // namespace peer_path
 
@@ -22,7 +22,7 @@
   /// Request id, as given to the caller.
   std::string Id;
   std::uint32_t Attempt = 1;
-  /// Cell that is asked, `service/number`.
+  /// The cell, `service/number`.
   std::string Cell;
   /// `name@version`; empty for a plain service.
   std::string Adapter;
@@ -32,12 +32,12 @@
   std::int64_t DeadlineUs = 0;
   /// Hash of the start of the prompt; 0 for none.
   std::uint64_t PrefixHash = 0;
-  /// Length of the prompt in tokens, roughly.
+  /// Approximate length of the prompt in tokens.
   std::uint32_t PromptTokens = 0;
-  /// Who asks, for limits.
+  /// Name of the caller, for limits.
   std::string Caller;
-  /// Replica that runs the request already, for going on with its stream;
-  /// empty for a new request.
+  /// Replica that already runs the request, to resume its stream; empty for a
+  /// new request.
   std::string ResumeOn;
   MSGPACK_DEFINE(Id, Attempt, Cell, Adapter, Class, DeadlineUs, PrefixHash,
                  PromptTokens, Caller, ResumeOn)
@@ -52,7 +52,7 @@
   Epoch Fence = 0;
   /// Why the request was refused.
   std::string Reason;
-  /// When to come back, in microseconds; for refusals.
+  /// Time after which the caller may retry, in microseconds; for refusals.
   std::int64_t RetryAfterUs = 0;
   /// Time the request waited for its adapter to load, in microseconds.
   std::int64_t LoadStallUs = 0;
@@ -77,7 +77,8 @@
 template <typename T>
 tl::expected<T, ProtocolError> unpack(std::string_view data) {
   try {
-    // A length can't be larger than the bytes that are there.
+    // Limits lengths to the bytes that are there, so that a wrong length
+    // allocates no memory.
     auto n = data.size();
     std::size_t end = 0;
     auto handle = msgpack::unpack(data.data(), n, end, nullptr, nullptr,
--- a/Hemlockglade/Protocol/Message/QuotaMessages.cpp
+++ b/Hemlockglade/Protocol/Message/QuotaMessages.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Units as they count: a peer's message must not bring what would spoil all
-/// sums.
-double unitsOf(double told) {
-  return std::isfinite(told) ? std::max(0.0, told) : 0;
+/// Returns valid units: values that are not finite or are negative, sent by a
+/// peer, would corrupt all sums.
+double sanitizeUnits(double received) {
+  return std::isfinite(received) ? std::max(0.0, received) : 0;
 }
 
 } // namespace
@@ -26,14 +26,14 @@
 std::vector<QuotaRequest> requestsOf(const QuotaRequestMessage &message) {
   std::vector<QuotaRequest> out;
   for (const auto &it : message.Requests) {
-    QuotaRequest ask{it.Workspace,
-                     {},
-                     unitsOf(it.Ahead),
-                     unitsOf(it.Unused),
-                     unitsOf(it.Charged)};
+    QuotaRequest request{it.Workspace,
+                         {},
+                         sanitizeUnits(it.Ahead),
+                         sanitizeUnits(it.Unused),
+                         sanitizeUnits(it.Charged)};
     std::transform(it.Requested.begin(), it.Requested.end(),
-                   std::back_inserter(ask.Requested), unitsOf);
-    out.push_back(std::move(ask));
+                   std::back_inserter(request.Requested), sanitizeUnits);
+    out.push_back(std::move(request));
   }
   return out;
 }
@@ -50,7 +50,8 @@
 std::vector<QuotaGrant> grantsOf(const QuotaGrantMessage &message) {
   std::vector<QuotaGrant> out;
   for (const auto &it : message.Grants)
-    out.push_back({it.Workspace, it.Managed, it.GrantedCount, unitsOf(it.Ahead),
+    out.push_back({it.Workspace, it.Managed, it.GrantedCount,
+                   sanitizeUnits(it.Ahead),
                    std::max(Span(0), Span(it.EmptyForUs))});
   return out;
 }
--- a/Hemlockglade/Protocol/Message/QuotaMessages.h
+++ b/Hemlockglade/Protocol/Message/QuotaMessages.h
@@ -5,7 +5,7 @@
 
 namespace hemlockglade {
 
-/// `QuotaRequest` between nodes.
+/// A `QuotaRequest` as it is sent between nodes.
 struct QuotaRequestNotice {
   std::string Workspace;
   std::vector<double> Requested;
@@ -15,15 +15,15 @@
   MSGPACK_DEFINE(Workspace, Requested, Ahead, Unused, Charged)
 };
 
-/// Entry to owner, again and again on `/quota/NAME`.
+/// Entry to owner, sent repeatedly on `/quota/NAME`.
 struct QuotaRequestMessage {
-  /// Rises with each message of the entry.
+  /// Increases with each message of the entry.
   std::uint64_t Number = 0;
   std::vector<QuotaRequestNotice> Requests;
   MSGPACK_DEFINE(Number, Requests)
 };
 
-/// `QuotaGrant` between nodes.
+/// A `QuotaGrant` as it is sent between nodes.
 struct QuotaGrantNotice {
   std::string Workspace;
   bool Managed = false;
@@ -33,7 +33,7 @@
   MSGPACK_DEFINE(Workspace, Managed, GrantedCount, Ahead, EmptyForUs)
 };
 
-/// Owner to entry: the answer to the ask of that number.
+/// Owner to entry: the answer to the request of that number.
 struct QuotaGrantMessage {
   std::uint64_t Number = 0;
   std::vector<QuotaGrantNotice> Grants;
--- a/Hemlockglade/Protocol/Message/RecoveryMessages.h
+++ b/Hemlockglade/Protocol/Message/RecoveryMessages.h
@@ -6,8 +6,9 @@
 namespace hemlockglade {
 
 namespace peer_path {
-/// A cell's new owner asks a node for what it runs of the cell. The stream
-/// stays open: the node tells on it which of these requests end.
+/// A cell's new owner requests from a node which of the cell's requests it
+/// runs. The stream stays open: the node reports on it when one of these
+/// requests ends.
 inline constexpr std::string_view Recover = "/recover";
 } // namespace peer_path
 
@@ -19,7 +20,7 @@
 };
 
 /// One running request in a RecoverReply.
-struct RecoverItem {
+struct RunningRequestNotice {
   std::string Id;
   std::string Replica;
   std::string Adapter;
@@ -27,11 +28,11 @@
   MSGPACK_DEFINE(Id, Replica, Adapter, Admitted)
 };
 
-/// Node to new owner: what runs.
+/// Node to new owner: the requests that run there.
 struct RecoverReply {
   bool Refused = false;
   Epoch Promised = 0;
-  std::vector<RecoverItem> Requests;
+  std::vector<RunningRequestNotice> Requests;
   MSGPACK_DEFINE(Refused, Promised, Requests)
 };
 
@@ -41,9 +42,9 @@
   MSGPACK_DEFINE(Id)
 };
 
-/// The reply that tells a register's answer.
+/// Converts an answer of RunningRequests to a reply.
 RecoverReply toReply(const RunningAnswer &answer);
-/// The register's answer that a reply tells.
+/// Converts a reply to an answer of RunningRequests, for requests of `cell`.
 RunningAnswer toAnswer(const RecoverReply &reply, const std::string &cell);
 
 } // namespace hemlockglade
--- a/UnitTests/Protocol/Message/MembershipMessagesTest.cpp
+++ b/UnitTests/Protocol/Message/MembershipMessagesTest.cpp
@@ -7,30 +7,32 @@
 
 namespace {
 
-std::string text() { return *rc::gen::string<std::string>(); }
+std::string arbitraryText() { return *rc::gen::string<std::string>(); }
 
 MemberMessage arbitraryMessage() {
   MemberMessage out;
   out.Kind = static_cast<MemberMessageKind>(*rc::gen::inRange(0, 5));
-  out.From = text();
+  out.From = arbitraryText();
   out.FromIncarnation = *rc::gen::arbitrary<std::uint64_t>();
   out.SeenState = static_cast<MemberState>(*rc::gen::inRange(0, 4));
   out.InForce = *rc::gen::arbitrary<std::uint64_t>();
   out.Hashes = *rc::gen::arbitrary<std::vector<std::uint64_t>>();
   out.More = *rc::gen::arbitrary<bool>();
   for (int it = *rc::gen::inRange(0, 5); it > 0; --it) {
-    out.Members.push_back({text(), *rc::gen::arbitrary<std::uint64_t>(), text(),
-                           text(), text(), text(), *rc::gen::arbitrary<bool>(),
-                           MemberState::Suspect});
-    out.Cells.push_back({text(), text(), *rc::gen::arbitrary<Epoch>()});
+    out.Members.push_back(
+        {arbitraryText(), *rc::gen::arbitrary<std::uint64_t>(), arbitraryText(),
+         arbitraryText(), arbitraryText(), arbitraryText(),
+         *rc::gen::arbitrary<bool>(), MemberState::Suspect});
+    out.Cells.push_back(
+        {arbitraryText(), arbitraryText(), *rc::gen::arbitrary<Epoch>()});
   }
   return out;
 }
 
 } // namespace
 
-TEST_CASE("a membership message is read as it was written", "[message]") {
-  REQUIRE(rc::check("and its size is within what was reckoned", [] {
+TEST_CASE("a membership message survives a round trip", "[message]") {
+  REQUIRE(rc::check("and its size is at most wireSize", [] {
     auto message = arbitraryMessage();
     auto bytes = pack(message);
     RC_ASSERT(bytes.size() <= wireSize(message));
@@ -49,7 +51,7 @@
   }));
 }
 
-TEST_CASE("a configuration answer is read as it was written", "[message]") {
+TEST_CASE("a configuration answer survives a round trip", "[message]") {
   ConfigAnswer answer{7, true, {"a", std::string(70000, 'x')}, "piece"};
   auto read = unpack<ConfigAnswer>(pack(answer));
   REQUIRE(read);
--- a/UnitTests/Protocol/Message/PeerMessagesTest.cpp
+++ b/UnitTests/Protocol/Message/PeerMessagesTest.cpp
@@ -17,7 +17,7 @@
                   it.RetryAfterUs, it.LoadStallUs);
 }
 
-AdmitRequest anyRequest() {
+AdmitRequest arbitraryRequest() {
   AdmitRequest out;
   out.Id = *rc::gen::arbitrary<std::string>();
   out.Attempt = *rc::gen::arbitrary<std::uint32_t>();
@@ -31,7 +31,7 @@
   return out;
 }
 
-AdmitReply anyReply() {
+AdmitReply arbitraryReply() {
   AdmitReply out;
   out.Granted = *rc::gen::arbitrary<bool>();
   out.Replica = *rc::gen::arbitrary<std::string>();
@@ -45,25 +45,27 @@
 
 } // namespace
 
-TEST_CASE("peer messages come back as they were", "[message]") {
+TEST_CASE("peer messages survive a round trip", "[message]") {
   REQUIRE(rc::check([] {
-    auto request = anyRequest();
-    auto again = unpack<AdmitRequest>(pack(request));
-    RC_ASSERT(again.has_value());
-    RC_ASSERT(fields(*again) == fields(request));
-    auto reply = anyReply();
-    auto back = unpack<AdmitReply>(pack(reply));
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(fields(*back) == fields(reply));
+    auto request = arbitraryRequest();
+    auto readRequest = unpack<AdmitRequest>(pack(request));
+    RC_ASSERT(readRequest.has_value());
+    RC_ASSERT(fields(*readRequest) == fields(request));
+    auto reply = arbitraryReply();
+    auto readReply = unpack<AdmitReply>(pack(reply));
+    RC_ASSERT(readReply.has_value());
+    RC_ASSERT(fields(*readReply) == fields(reply));
     FinishNotice notice{*rc::gen::arbitrary<std::uint8_t>()};
     RC_ASSERT(unpack<FinishNotice>(pack(notice))->Result == notice.Result);
   }));
 }
 
-TEST_CASE("a cut or changed peer message gives a message or an error",
-          "[message]") {
+TEST_CASE(
+    "a truncated peer message gives an error, a corrupted one a message or an "
+    "error",
+    "[message]") {
   REQUIRE(rc::check([] {
-    auto data = pack(anyRequest());
+    auto data = pack(arbitraryRequest());
     auto cut = *rc::gen::inRange<std::size_t>(0, data.size());
     RC_ASSERT_FALSE(unpack<AdmitRequest>(data.substr(0, cut)).has_value());
     data[cut] = *rc::gen::arbitrary<char>();
@@ -73,7 +75,7 @@
   }));
 }
 
-TEST_CASE("a length that the bytes do not hold takes no memory", "[message]") {
+TEST_CASE("a length beyond the end of a message is rejected", "[message]") {
   for (std::string head : {"\xdd", "\xdf", "\xdb", "\xc6", "\xc9"}) {
     auto claim = head + "\xff\xff\xff\xf0";
     REQUIRE_FALSE(unpack<AdmitRequest>(claim).has_value());
