--- a/Hemlockglade/Protocol/Message/CellMessages.h
+++ b/Hemlockglade/Protocol/Message/CellMessages.h
@@ -9,7 +9,7 @@
 /// A node follows a cell's owner: it sends its part of the load and receives
 /// what the replicas hold. The cell's name follows the path.
 inline constexpr std::string_view Cell = "/cell/";
-/// A node that starts requests from another what that one knows. The version of
+/// A starting node requests from another what that one knows. The version of
 /// the plan that it has, or 0, follows the path.
 inline constexpr std::string_view Briefing = "/briefing/";
 /// A node requests from another who owns the cells.
--- a/Programs/hemlockgladed/Gateway/GatewayListen.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayListen.cpp
@@ -93,7 +93,7 @@
   for (const auto &it : entries)
     if (it.Node != Settings.Name || ready())
       out.push_back(it.CallerAddress);
-  // A node that knows no node in service lists itself.
+  // If no node in service is known, this node lists itself.
   if (out.empty() && ready())
     out.push_back(Settings.CallerAddress);
   if (out.size() > MaxAddresses)
