--- a/Hemlockglade/Coordination/Route/ExchangeSettings.h
+++ b/Hemlockglade/Coordination/Route/ExchangeSettings.h
@@ -6,53 +6,57 @@
 
 namespace hemlockglade {
 
-/// Bounds of one exchange that are not the route's.
+/// Limits of one exchange with a caller that a route does not set.
 struct ExchangeSettings {
-  /// Share of the time that a caller has for which a request is held before
-  /// it has been sent anywhere; then it is refused with a time to come back.
+  /// Share of the caller's timeout for which a request is held before its first
+  /// attempt; after that it is refused with a time after which to retry.
   double MaxHoldShare = 0.45;
-  /// Callers of a stream leave when nothing comes for the longest of these: a
-  /// time, and multiples of the target latency and of the longest pause.
+  /// A stream's caller is expected to disconnect when it receives nothing for
+  /// the maximum of these: a fixed time, and multiples of the target latency
+  /// and of the route's longest pause between events.
   Span MinCallerPatience = std::chrono::seconds(2);
   double CallerPatienceInTargets = 4;
   double CallerPatienceInGaps = 8;
-  /// Share of that patience for which a stream's request is held.
+  /// Share of that time for which a stream's request is held.
   double StreamHoldShare = 0.65;
-  /// A request that has waited this long for an engine's turn asks for another
-  /// copy of its weights.
+  /// A request that has waited this long for an engine requests another copy of
+  /// its weights.
   Span CongestedAfter = std::chrono::milliseconds(300);
-  /// Time between two reminders that weights are waited for.
+  /// Interval between messages that repeat the demand for weights.
   Span DemandReminderInterval = std::chrono::milliseconds(200);
-  /// Time between looks while a request waits, when nothing wakes it.
+  /// Interval at which a waiting request checks for a replica when nothing
+  /// wakes it.
   Span WaitPollInterval = std::chrono::milliseconds(25);
   /// Share of a route's target latency after which a request that has not been
-  /// sent is taken to be late: an engine needs the rest to read its prompt.
+  /// sent counts as late: the engine needs the rest for prefill.
   double OnTimeShare = 0.75;
-  /// How long a plain replica that turned a request away is left alone by it: a
-  /// full queue moves on by some places in the time that one run takes.
-  /// Twice as long after each further time: where a whole service is full,
-  /// asking again helps nobody.
+  /// Initial backoff of a request for a plain replica that shed it: a full
+  /// queue advances by some places in the time that one run takes. It doubles
+  /// with each further shedding, because retries don't help where a whole
+  /// service is full.
   Span ShedBackoff = std::chrono::milliseconds(50);
-  /// Time in which something has to come from a replica that has started anew
-  /// since a request was sent to it: it may have been sent to the new start
-  /// already.
+  /// Time within which something has to be received from a replica that has
+  /// restarted since a request was sent to it: the request may have reached the
+  /// new incarnation already.
   Span RestartGrace = std::chrono::milliseconds(400);
-  /// Time that has to be left for an attempt to be worth it.
+  /// Time that must remain for an attempt to be made.
   Span MinAttemptTime = std::chrono::milliseconds(20);
-  /// A kept connection that rested longer is not used for what must not run
-  /// twice: if it broke just now the request's fate would be unknown.
+  /// A pooled connection that was idle for longer is not used for requests that
+  /// must not run twice: if it is found broken, it is unknown whether the
+  /// request ran.
   Span MaxIdleForRunOnce = std::chrono::milliseconds(2000);
-  /// A repeatable request is sent elsewhere when its replica takes this many
-  /// times the usual time, and at least the least.
+  /// A repeatable request is sent to another replica when its replica takes
+  /// this many times its typical time, and at least the minimum.
   double SlowFactor = 6;
   Span MinSlowTime = std::chrono::milliseconds(300);
-  /// A stream that may resume is carried on elsewhere after a pause of this
-  /// many times the route's longest pause.
+  /// A resumable stream is continued at another replica after a pause of this
+  /// many times the route's longest pause, and at least the minimum.
   double StallFactor = 4;
   Span MinStallTime = std::chrono::milliseconds(1200);
-  /// Bytes of a plain answer that are held until it is complete.
+  /// Bytes of a plain answer that are buffered until it is complete.
   std::size_t MaxAnswerBytes = std::size_t{8} * 1024 * 1024;
-  /// Bytes that may wait for a slow caller before its replica is not read.
+  /// Bytes that may be queued for a slow caller before reading from its replica
+  /// stops.
   std::size_t MaxQueuedBytes = std::size_t{256} * 1024;
 };
 
--- a/Hemlockglade/Coordination/Route/FairQueue.cpp
+++ b/Hemlockglade/Coordination/Route/FairQueue.cpp
@@ -6,20 +6,21 @@
 namespace hemlockglade {
 
 FairQueue::Ticket FairQueue::join(const std::string &service, Request request) {
-  auto &line = Lines[service];
-  auto &last = line.LastTurns[request.Workspace];
-  // A workspace that waited for nothing lately begins beside the others.
-  last = std::max(last, line.Reached) + 1;
+  auto &queue = Queues[service];
+  auto &lastFinish = queue.LastFinishes[request.Workspace];
+  // A workspace without recent requests starts at the current virtual time.
+  lastFinish = std::max(lastFinish, queue.VirtualTime) + 1;
   auto ticket = ++LastTicket;
-  line.All.push_back({ticket, std::move(request), last, Instant{}});
+  queue.Requests.push_back({ticket, std::move(request), lastFinish, Instant{}});
   return ticket;
 }
 
-FairQueue::Waiting *FairQueue::find(const std::string &service, Ticket ticket) {
-  auto line = Lines.find(service);
-  if (line == Lines.end())
+FairQueue::WaitingRequest *FairQueue::find(const std::string &service,
+                                           Ticket ticket) {
+  auto queue = Queues.find(service);
+  if (queue == Queues.end())
     return nullptr;
-  auto &all = line->second.All;
+  auto &all = queue->second.Requests;
   auto it = std::find_if(all.begin(), all.end(), [ticket](const auto &waiting) {
     return waiting.Number == ticket;
   });
@@ -28,64 +29,65 @@
 
 void FairQueue::onServed(const std::string &service, Ticket ticket) {
   if (auto *it = find(service, ticket)) {
-    auto &line = Lines.at(service);
-    line.Reached = std::max(line.Reached, it->Turn);
+    auto &queue = Queues.at(service);
+    queue.VirtualTime = std::max(queue.VirtualTime, it->VirtualFinish);
   }
   leave(service, ticket);
 }
 
 void FairQueue::leave(const std::string &service, Ticket ticket) {
-  auto line = Lines.find(service);
-  if (line == Lines.end())
+  auto queue = Queues.find(service);
+  if (queue == Queues.end())
     return;
-  std::erase_if(line->second.All,
+  std::erase_if(queue->second.Requests,
                 [ticket](const auto &it) { return it.Number == ticket; });
-  // Turns mean nothing once nobody waits.
-  if (line->second.All.empty())
-    Lines.erase(line);
+  // Virtual times are meaningless once nothing waits.
+  if (queue->second.Requests.empty())
+    Queues.erase(queue);
 }
 
 void FairQueue::deferUntil(const std::string &service, Ticket ticket,
                            Instant until) {
   if (auto *it = find(service, ticket))
-    it->PassedOverUntil = until;
+    it->DeferredUntil = until;
 }
 
-bool FairQueue::goesBefore(const Waiting &a, const Waiting &b, Instant now) {
-  auto key = [now](const Waiting &it) {
-    return std::tuple(now >= it.PassedOverUntil ? 0 : 1,
-                      now < it.Of.OnTimeUntil ? 0 : 1, it.Of.Rank, it.Turn,
-                      it.Number);
+bool FairQueue::isBefore(const WaitingRequest &a, const WaitingRequest &b,
+                         Instant now) {
+  auto key = [now](const WaitingRequest &it) {
+    return std::tuple(now >= it.DeferredUntil ? 0 : 1,
+                      now < it.Details.OnTimeUntil ? 0 : 1, it.Details.Rank,
+                      it.VirtualFinish, it.Number);
   };
   return key(a) < key(b);
 }
 
-const FairQueue::Waiting *FairQueue::nextOf(const std::string &service,
-                                            Instant now) const {
-  auto line = Lines.find(service);
-  if (line == Lines.end())
+const FairQueue::WaitingRequest *
+FairQueue::nextRequest(const std::string &service, Instant now) const {
+  auto queue = Queues.find(service);
+  if (queue == Queues.end())
     return nullptr;
-  const auto &all = line->second.All;
+  const auto &all = queue->second.Requests;
   auto it = std::min_element(
       all.begin(), all.end(),
-      [now](const auto &a, const auto &b) { return goesBefore(a, b, now); });
+      [now](const auto &a, const auto &b) { return isBefore(a, b, now); });
   return it == all.end() ? nullptr : &*it;
 }
 
 bool FairQueue::isNext(const std::string &service, Ticket ticket,
                        Instant now) const {
-  const auto *next = nextOf(service, now);
+  const auto *next = nextRequest(service, now);
   return !next || next->Number == ticket;
 }
 
 bool FairQueue::hasWaiting(const std::string &service) const {
-  return Lines.contains(service);
+  return Queues.contains(service);
 }
 
 void FairQueue::wakeNext(const std::string &service, Instant now) const {
-  const auto *next = nextOf(service, now);
-  if (next && next->Of.Wake)
-    next->Of.Wake();
+  const auto *next = nextRequest(service, now);
+  if (next && next->Details.Wake)
+    next->Details.Wake();
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/FairQueue.h
+++ b/Hemlockglade/Coordination/Route/FairQueue.h
@@ -8,62 +8,66 @@
 
 namespace hemlockglade {
 
-/// Whose turn it is among requests that wait for room at a service's replicas.
+/// Orders the requests that wait for room at a service's replicas.
 ///
-/// Answers the load of a workspace that sends many times its usual while the
-/// replicas are full: each workspace's requests are spaced by fair queueing, so
-/// that a workspace with few requests waits behind few of any other one. What
-/// can still be in time goes before what can't, and more urgent ranks before
-/// others. No clock, no sockets.
+/// Handles a workspace that sends many times its usual load while the replicas
+/// are full: fair queueing spaces the requests of each workspace, so that a
+/// workspace with few requests waits behind few of any other one. Requests that
+/// can still be in time precede those that can't, then more urgent ranks
+/// precede others. Deterministic: time is passed in, and it does no I/O.
 class FairQueue {
 public:
   using Ticket = std::uint64_t;
   struct Request {
     std::string Workspace;
     std::uint32_t Rank = 0;
-    /// From then on it can't be in time any more.
+    /// From then on the request can't be answered in time any more.
     Instant OnTimeUntil{};
-    /// It is its turn: it should look for room.
+    /// Called when the request is next in the queue: it should try to find a
+    /// replica.
     std::function<void()> Wake;
   };
 
-  /// A request waits for room from now on.
+  /// Adds a request that waits for room.
   Ticket join(const std::string &service, Request request);
-  /// It goes to a replica.
+  /// Removes a request that is sent to a replica.
   void onServed(const std::string &service, Ticket ticket);
-  /// It waits no more.
+  /// Removes a request that no longer waits.
   void leave(const std::string &service, Ticket ticket);
-  /// It found no room where others may, and is passed over until then.
+  /// Defers a request that found no room where others may: until then the
+  /// others precede it.
   void deferUntil(const std::string &service, Ticket ticket, Instant until);
 
-  /// Whether none that waits goes before it.
+  /// Returns whether no waiting request precedes it.
   bool isNext(const std::string &service, Ticket ticket, Instant now) const;
   bool hasWaiting(const std::string &service) const;
-  /// Wakes the one whose turn it is.
+  /// Wakes the request that is next in the queue.
   void wakeNext(const std::string &service, Instant now) const;
 
 private:
-  struct Waiting {
+  struct WaitingRequest {
     Ticket Number = 0;
-    Request Of;
-    /// Turn by fair queueing.
-    double Turn = 0;
-    Instant PassedOverUntil{};
+    Request Details;
+    /// Virtual finish time of fair queueing, in requests.
+    double VirtualFinish = 0;
+    Instant DeferredUntil{};
   };
-  struct Line {
-    std::vector<Waiting> All;
-    /// Turn of the one that was served last.
-    double Reached = 0;
-    /// Turn of the last request of each workspace.
-    std::map<std::string, double> LastTurns;
+  struct ServiceQueue {
+    std::vector<WaitingRequest> Requests;
+    /// Virtual finish time of the last request that was served.
+    double VirtualTime = 0;
+    /// Virtual finish time of the last request of each workspace.
+    std::map<std::string, double> LastFinishes;
   };
 
-  static bool goesBefore(const Waiting &a, const Waiting &b, Instant now);
-  const Waiting *nextOf(const std::string &service, Instant now) const;
-  Waiting *find(const std::string &service, Ticket ticket);
+  static bool isBefore(const WaitingRequest &a, const WaitingRequest &b,
+                       Instant now);
+  const WaitingRequest *nextRequest(const std::string &service,
+                                    Instant now) const;
+  WaitingRequest *find(const std::string &service, Ticket ticket);
 
   Ticket LastTicket = 0;
-  std::map<std::string, Line> Lines;
+  std::map<std::string, ServiceQueue> Queues;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/PrefillSpeed.h
+++ b/Hemlockglade/Coordination/Route/PrefillSpeed.h
@@ -4,34 +4,34 @@
 
 namespace hemlockglade {
 
-/// How fast engines read prompts, learnt from how long first events took: a
-/// straight line through time and tokens, older samples fading.
+/// Estimates the prefill speed of engines from the times to the first event: a
+/// linear regression of time over tokens with exponentially decaying weights.
 class PrefillSpeed {
 public:
   struct Settings {
-    /// What is taken until enough was seen: 20 tokens a millisecond.
-    double FirstUsPerToken = 50;
-    /// Weight that older samples keep with each new one.
-    double Fade = 0.99;
-    /// Samples, fading ones counted by weight, before the line is trusted.
-    double LeastSamples = 12;
-    /// The line is kept within this factor of the first value.
-    double Bound = 8;
+    /// Used until there are enough samples: 20 tokens per millisecond.
+    double InitialUsPerToken = 50;
+    /// Factor by which the weight of older samples decays with each new one.
+    double SampleDecay = 0.99;
+    /// Sum of the samples' decayed weights from which the regression is used.
+    double MinSamples = 12;
+    /// The slope is kept within this factor of the initial value.
+    double MaxDeviationFactor = 8;
   };
 
   PrefillSpeed() : PrefillSpeed(Settings{}) {}
-  explicit PrefillSpeed(Settings settings) : Setup(settings) {}
+  explicit PrefillSpeed(Settings settings) : Options(settings) {}
 
   void add(std::uint32_t tokens, Span took);
   double usPerToken() const;
 
 private:
-  Settings Setup;
-  double N = 0;
-  double T = 0;
-  double Y = 0;
-  double TT = 0;
-  double TY = 0;
+  Settings Options;
+  double SumWeights = 0;
+  double SumTokens = 0;
+  double SumTimes = 0;
+  double SumTokensSquared = 0;
+  double SumTokensTimes = 0;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/ReplicaHealth.cpp
+++ b/Hemlockglade/Coordination/Route/ReplicaHealth.cpp
@@ -5,9 +5,9 @@
 
 namespace hemlockglade {
 
-double ReplicaHealth::faded(double share, Instant now) const {
-  auto age = inSeconds(now - At);
-  auto halfLife = inSeconds(Setup.HalfLife);
+double ReplicaHealth::decayed(double share, Instant now) const {
+  auto age = inSeconds(now - UpdatedAt);
+  auto halfLife = inSeconds(Options.HalfLife);
   return share * std::exp2(-age / halfLife);
 }
 
@@ -21,39 +21,41 @@
     return;
   auto took = now - it->second;
   Unanswered.erase(it);
-  Usual += Span(static_cast<std::int64_t>(
-      Setup.Step * static_cast<double>((took - Usual).count())));
+  TypicalTime += Span(static_cast<std::int64_t>(
+      Options.SmoothingFactor *
+      static_cast<double>((took - TypicalTime).count())));
 }
 
 void ReplicaHealth::onEnd(std::uint64_t attempt, AttemptVerdict verdict,
                           Instant now) {
   Unanswered.erase(attempt);
-  bool bad = verdict == AttemptVerdict::NoValidAnswer ||
-             verdict == AttemptVerdict::Shed;
-  bool own = verdict == AttemptVerdict::ReplicaError;
-  Failed = faded(Failed, now);
-  OwnFailed = faded(OwnFailed, now);
-  Failed += Setup.Step * ((bad ? 1.0 : 0.0) - Failed);
-  OwnFailed += Setup.Step * ((own ? 1.0 : 0.0) - OwnFailed);
-  At = now;
+  bool isFailed = verdict == AttemptVerdict::NoValidAnswer ||
+                  verdict == AttemptVerdict::Shed;
+  bool isError = verdict == AttemptVerdict::ReplicaError;
+  FailedShare = decayed(FailedShare, now);
+  ErrorShare = decayed(ErrorShare, now);
+  FailedShare +=
+      Options.SmoothingFactor * ((isFailed ? 1.0 : 0.0) - FailedShare);
+  ErrorShare += Options.SmoothingFactor * ((isError ? 1.0 : 0.0) - ErrorShare);
+  UpdatedAt = now;
 }
 
 double ReplicaHealth::failureShare(Instant now) const {
-  return faded(Failed, now);
+  return decayed(FailedShare, now);
 }
 
 double ReplicaHealth::replicaErrorShare(Instant now) const {
-  return faded(OwnFailed, now);
+  return decayed(ErrorShare, now);
 }
 
 bool ReplicaHealth::isOverdue(Instant now) const {
   if (Unanswered.empty())
     return false;
   // Attempts are numbered in the order in which they are sent.
-  auto waits = now - Unanswered.begin()->second;
+  auto waitTime = now - Unanswered.begin()->second;
   auto bound = Span(static_cast<std::int64_t>(
-      Setup.OverdueFactor * static_cast<double>(Usual.count())));
-  return waits > std::max(bound, Setup.LeastOverdue);
+      Options.OverdueFactor * static_cast<double>(TypicalTime.count())));
+  return waitTime > std::max(bound, Options.MinOverdueTime);
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/ReplicaHealth.h
+++ b/Hemlockglade/Coordination/Route/ReplicaHealth.h
@@ -6,58 +6,61 @@
 
 namespace hemlockglade {
 
-/// How an attempt at a replica ended, as far as the replica is to blame.
+/// Result of an attempt, as far as the replica is at fault.
 enum class AttemptVerdict : std::uint8_t {
   Success,
-  /// It failed the request itself, with a proper answer.
+  /// The replica answered with a valid error response.
   ReplicaError,
-  /// It shed the request.
+  /// The replica shed the request.
   Shed,
-  /// No connection, a broken one, no answer in time, or wrong bytes.
+  /// No connection, a broken one, no answer within the timeout, or invalid
+  /// bytes.
   NoValidAnswer,
 };
 
-/// What one node has seen of a replica's conduct, without asking it.
+/// Tracks a replica's failures and response times from one node's own attempts,
+/// without probing it.
 class ReplicaHealth {
 public:
   struct Settings {
-    /// Weight of the newest attempt in the share of failures.
-    double Step = 0.15;
-    /// Failures are forgotten by half in this time, so that a replica that was
-    /// avoided is tried again.
+    /// Weight of the newest attempt in the failure shares and the typical time.
+    double SmoothingFactor = 0.15;
+    /// Half-life of the failure shares, so that a replica that was avoided is
+    /// used again.
     Span HalfLife = std::chrono::seconds(4);
-    /// A request without an answer is overdue after this many times the usual
-    /// time, and not before the least.
+    /// A request without an answer is overdue after this many times the typical
+    /// time, and at least the minimum.
     double OverdueFactor = 5;
-    Span LeastOverdue = std::chrono::milliseconds(250);
+    Span MinOverdueTime = std::chrono::milliseconds(250);
   };
 
   ReplicaHealth() : ReplicaHealth(Settings{}) {}
-  explicit ReplicaHealth(Settings settings) : Setup(settings) {}
+  explicit ReplicaHealth(Settings settings) : Options(settings) {}
 
   void onSent(std::uint64_t attempt, Instant now);
-  /// The first byte of an answer came.
+  /// Called when the first byte of an answer is received.
   void onAnswered(std::uint64_t attempt, Instant now);
-  /// The attempt is over.
+  /// Called when the attempt has ended.
   void onEnd(std::uint64_t attempt, AttemptVerdict verdict, Instant now);
 
-  /// Share of recent attempts that were bad or shed, 0 to 1.
+  /// Share of recent attempts that were shed or got no valid answer, 0 to 1.
   double failureShare(Instant now) const;
-  /// Share of recent attempts that the replica failed with a proper answer.
+  /// Share of recent attempts that the replica answered with an error response,
+  /// 0 to 1.
   double replicaErrorShare(Instant now) const;
-  /// Whether the oldest request without an answer waits unusually long.
+  /// Returns whether the oldest request without an answer is overdue.
   bool isOverdue(Instant now) const;
-  /// Usual time to the first byte of an answer.
-  Span typicalFirstByte() const { return Usual; }
+  /// Typical time to the first byte of an answer.
+  Span typicalFirstByte() const { return TypicalTime; }
 
 private:
-  double faded(double share, Instant now) const;
+  double decayed(double share, Instant now) const;
 
-  Settings Setup;
-  double Failed = 0;
-  double OwnFailed = 0;
-  Instant At{};
-  Span Usual = std::chrono::milliseconds(100);
+  Settings Options;
+  double FailedShare = 0;
+  double ErrorShare = 0;
+  Instant UpdatedAt{};
+  Span TypicalTime = std::chrono::milliseconds(100);
   std::map<std::uint64_t, Instant> Unanswered;
 };
 
--- a/Hemlockglade/Coordination/Route/ReplicaView.cpp
+++ b/Hemlockglade/Coordination/Route/ReplicaView.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Replicas that owners may tell of before the registry does.
-constexpr std::size_t MaxEarly = 1024;
+/// Maximum number of replicas whose residency is kept before the registry
+/// reports them.
+constexpr std::size_t MaxPendingResidency = 1024;
 
 Residency residencyOf(const ReplicaRecord &record, Instant now) {
   Residency out;
@@ -18,55 +19,58 @@
 
 } // namespace
 
-bool RouteQuery::excludes(const std::string &incarnation, Instant now) const {
-  auto rests = BackoffUntil.find(incarnation);
+bool RouteQuery::isExcluded(const std::string &incarnation, Instant now) const {
+  auto backoff = BackoffUntil.find(incarnation);
   return Excluded.contains(incarnation) ||
-         (rests != BackoffUntil.end() && now < rests->second);
+         (backoff != BackoffUntil.end() && now < backoff->second);
 }
 
-bool ReplicaView::takeLife(const ReplicaIncarnation &life, Instant now,
-                           std::vector<ReplicaPtr> &ended) {
-  auto [at, isFirst] = Lives.try_emplace(life.id(), life);
-  // An earlier start's heartbeat that was on its way, or an entry that does not
-  // tell its start where the one before did.
-  if (life.before(at->second))
+bool ReplicaView::acceptIncarnation(const ReplicaIncarnation &incarnation,
+                                    Instant now,
+                                    std::vector<ReplicaPtr> &ended) {
+  auto [at, isFirst] =
+      LatestIncarnations.try_emplace(incarnation.id(), incarnation);
+  // A delayed heartbeat of an earlier incarnation, or an entry that does not
+  // report its start time where the previous one did.
+  if (incarnation.before(at->second))
     return false;
-  if (!isFirst && at->second.before(life))
+  if (!isFirst && at->second.before(incarnation))
     if (auto it = Replicas.find(at->second.text()); it != Replicas.end()) {
-      it->second.Replaced = true;
-      it->second.VanishesAt = now;
+      it->second.Restarted = true;
+      it->second.RemoveAt = now;
       ++Revision;
       ended.push_back(it->second.Record);
     }
-  at->second = life;
+  at->second = incarnation;
   return true;
 }
 
-void ReplicaView::takeRecord(const ReplicaRecord &record, Instant now,
-                             std::vector<ReplicaPtr> &ended) {
-  if (!takeLife(record.Incarnation, now, ended))
+void ReplicaView::applyRecord(const ReplicaRecord &record, Instant now,
+                              std::vector<ReplicaPtr> &ended) {
+  if (!acceptIncarnation(record.Incarnation, now, ended))
     return;
   auto [it, isNew] = Replicas.try_emplace(record.Incarnation.text());
-  auto &seen = it->second;
-  // A heartbeat that was on its way when the replica began to leave must not
-  // bring it back.
-  bool leaves = record.Draining || (!isNew && seen.Leaving);
-  if (isNew || leaves != seen.Leaving)
+  auto &state = it->second;
+  // A delayed heartbeat from before the replica began to drain must not bring
+  // it back into use.
+  bool draining = record.Draining || (!isNew && state.Draining);
+  if (isNew || draining != state.Draining)
     ++Revision;
-  seen.Record = std::make_shared<const ReplicaRecord>(record);
-  seen.Leaving = leaves;
-  seen.VanishesAt.reset();
-  seen.GoneTold = false;
+  state.Record = std::make_shared<const ReplicaRecord>(record);
+  state.Draining = draining;
+  state.RemoveAt.reset();
+  state.RemovalReturned = false;
   if (isNew)
-    index();
-  if (auto told = Early.find(record.Incarnation.text()); told != Early.end()) {
-    seen.Held = std::move(told->second);
-    seen.ByOwner = true;
-    Early.erase(told);
+    rebuildIndex();
+  if (auto pending = PendingResidency.find(record.Incarnation.text());
+      pending != PendingResidency.end()) {
+    state.Held = std::move(pending->second);
+    state.FromOwner = true;
+    PendingResidency.erase(pending);
   }
-  if (!seen.ByOwner) {
-    seen.Held = residencyOf(record, now);
-    seen.LateSince.clear();
+  if (!state.FromOwner) {
+    state.Held = residencyOf(record, now);
+    state.RejectedDueAt.clear();
   }
 }
 
@@ -74,63 +78,64 @@
                                                 bool unreachable, Instant now) {
   std::vector<ReplicaPtr> ended;
   for (const auto &it : changes.Present)
-    takeRecord(it, now, ended);
-  std::set<std::string> vanished(changes.Removed.begin(),
-                                 changes.Removed.end());
+    applyRecord(it, now, ended);
+  std::set<std::string> missing(changes.Removed.begin(), changes.Removed.end());
   std::set<std::string> present(changes.Unreadable.begin(),
                                 changes.Unreadable.end());
   for (const auto &it : changes.Present)
     present.insert(it.Incarnation.id());
-  std::size_t used = 0;
-  for (const auto &[key, seen] : Replicas) {
-    const auto &id = seen.Record->Incarnation.id();
-    used += usable(seen) ? 1 : 0;
+  std::size_t usableCount = 0;
+  for (const auto &[key, state] : Replicas) {
+    const auto &id = state.Record->Incarnation.id();
+    usableCount += isUsable(state) ? 1 : 0;
     if (changes.Complete && !present.contains(id))
-      vanished.insert(id);
+      missing.insert(id);
   }
-  // Entries lapse together when the registry itself was away. A single one that
-  // goes while only this node was cut off is a replica that left, for which the
-  // bound on new work runs already.
-  constexpr double LapseShare = 1.0 / 3;
-  bool lapsed = changes.RolledBack ||
-                (unreachable && static_cast<double>(vanished.size()) >=
-                                    LapseShare * static_cast<double>(used));
-  for (auto &[key, seen] : Replicas)
-    if (vanished.contains(seen.Record->Incarnation.id()))
-      vanish(seen, lapsed, now);
+  // Entries expire together when the registry itself was unavailable. A single
+  // entry that disappears while only this node was cut off is a replica that
+  // has been removed, for which the bound on new work already applies.
+  constexpr double MinExpiredShare = 1.0 / 3;
+  bool expired =
+      changes.RolledBack ||
+      (unreachable && static_cast<double>(missing.size()) >=
+                          MinExpiredShare * static_cast<double>(usableCount));
+  for (auto &[key, state] : Replicas)
+    if (missing.contains(state.Record->Incarnation.id()))
+      scheduleRemoval(state, expired, now);
   return ended;
 }
 
-void ReplicaView::vanish(Seen &seen, bool lapsed, Instant now) {
-  if (!lapsed) {
-    seen.Leaving = true;
+void ReplicaView::scheduleRemoval(ReplicaState &state, bool expired,
+                                  Instant now) {
+  if (!expired) {
+    state.Draining = true;
     ++Revision;
   }
-  if (!seen.VanishesAt)
-    seen.VanishesAt = now + (lapsed ? Setup.ExpiryGrace : Span(0));
+  if (!state.RemoveAt)
+    state.RemoveAt = now + (expired ? Options.ExpiryGrace : Span(0));
 }
 
 void ReplicaView::onResidency(const std::string &replica, Residency held,
                               Instant) {
   auto it = Replicas.find(replica);
   if (it == Replicas.end()) {
-    if (Early.size() < MaxEarly)
-      Early[replica] = std::move(held);
+    if (PendingResidency.size() < MaxPendingResidency)
+      PendingResidency[replica] = std::move(held);
     return;
   }
   it->second.Held = std::move(held);
-  it->second.LateSince.clear();
-  it->second.ByOwner = true;
+  it->second.RejectedDueAt.clear();
+  it->second.FromOwner = true;
 }
 
 void ReplicaView::onResidencyChange(const std::string &replica,
                                     const Residency &changed,
                                     const std::vector<WeightsRef> &dropped) {
   auto it = Replicas.find(replica);
-  auto early = Early.find(replica);
-  if (it == Replicas.end() && early == Early.end())
+  auto pending = PendingResidency.find(replica);
+  if (it == Replicas.end() && pending == PendingResidency.end())
     return;
-  auto &held = it == Replicas.end() ? early->second : it->second.Held;
+  auto &held = it == Replicas.end() ? pending->second : it->second.Held;
   for (const auto &[weights, at] : changed)
     held[weights] = at;
   for (const auto &weights : dropped)
@@ -138,9 +143,9 @@
   if (it == Replicas.end())
     return;
   for (const auto &[weights, at] : changed)
-    it->second.LateSince.erase(weights);
+    it->second.RejectedDueAt.erase(weights);
   for (const auto &weights : dropped)
-    it->second.LateSince.erase(weights);
+    it->second.RejectedDueAt.erase(weights);
 }
 
 void ReplicaView::onRunningElsewhere(const std::string &replica,
@@ -148,8 +153,8 @@
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return;
-  it->second.Others = running;
-  it->second.OthersAt = now;
+  it->second.RunningElsewhere = running;
+  it->second.RunningElsewhereAt = now;
 }
 
 void ReplicaView::onSentElsewhere(const std::string &replica,
@@ -157,25 +162,27 @@
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return;
-  auto &seen = it->second;
-  seen.BusyUntil =
-      std::max(now, seen.BusyUntil) + timeToRead(seen.Record->Service, tokens);
+  auto &state = it->second;
+  state.PrefillUntil = std::max(now, state.PrefillUntil) +
+                       prefillTime(state.Record->Service, tokens);
 }
 
-Span ReplicaView::timeToRead(const std::string &service,
-                             std::uint32_t tokens) const {
-  auto it = Speeds.find(service);
-  double each = it == Speeds.end() ? PrefillSpeed().usPerToken()
-                                   : it->second.usPerToken();
-  return Span(static_cast<std::int64_t>(Setup.ReadOverhead * each * tokens));
+Span ReplicaView::prefillTime(const std::string &service,
+                              std::uint32_t tokens) const {
+  auto it = PrefillSpeeds.find(service);
+  double perToken = it == PrefillSpeeds.end() ? PrefillSpeed().usPerToken()
+                                              : it->second.usPerToken();
+  return Span(
+      static_cast<std::int64_t>(Options.PrefillOverhead * perToken * tokens));
 }
 
 void ReplicaView::onFirstEvent(const std::string &replica,
-                               const RouteQuery &query, Span took, bool clean) {
+                               const RouteQuery &query, Span took,
+                               bool wasIdle) {
   auto it = Replicas.find(replica);
-  if (it != Replicas.end() && clean)
-    Speeds[it->second.Record->Service].add(unreadTokens(it->second, query),
-                                           took);
+  if (it != Replicas.end() && wasIdle)
+    PrefillSpeeds[it->second.Record->Service].add(
+        uncachedTokens(it->second, query), took);
 }
 
 std::uint32_t ReplicaView::tokensToRead(const std::string &replica,
@@ -183,53 +190,53 @@
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return query.PromptTokens;
-  return unreadTokens(it->second, query);
+  return uncachedTokens(it->second, query);
 }
 
-std::uint32_t ReplicaView::unreadTokens(const Seen &seen,
-                                        const RouteQuery &query) const {
+std::uint32_t ReplicaView::uncachedTokens(const ReplicaState &state,
+                                          const RouteQuery &query) const {
   return query.PromptTokens -
-         std::min(query.PromptTokens, sharedTokens(seen, query));
+         std::min(query.PromptTokens, cachedTokens(state, query));
 }
 
 bool ReplicaView::isSuspect(const std::string &replica, Instant now) const {
   auto it = Replicas.find(replica);
   return it != Replicas.end() &&
          it->second.Health.replicaErrorShare(now) >
-             usualFailures(it->second.Record->Service, now);
+             typicalErrorShare(it->second.Record->Service, now);
 }
 
 std::size_t ReplicaView::loadingOutside(const std::string &domain, bool models,
                                         Instant now) const {
   std::size_t n = 0;
-  for (const auto &[id, seen] : Replicas) {
-    if (seen.Record->FailureDomain == domain)
+  for (const auto &[id, state] : Replicas) {
+    if (state.Record->FailureDomain == domain)
       continue;
-    for (const auto &[weights, held] : seen.Held)
+    for (const auto &[weights, held] : state.Held)
       n += held.ReadyAt > now && weights.Adapter.empty() == models ? 1 : 0;
   }
   return n;
 }
 
 void ReplicaView::onOwnerLost(const std::string &failureDomain) {
-  for (auto &[id, seen] : Replicas)
-    if (seen.Record->FailureDomain == failureDomain)
-      seen.ByOwner = false;
+  for (auto &[id, state] : Replicas)
+    if (state.Record->FailureDomain == failureDomain)
+      state.FromOwner = false;
 }
 
-bool ReplicaView::usable(const Seen &seen) {
-  return !seen.Leaving && !seen.Replaced;
+bool ReplicaView::isUsable(const ReplicaState &state) {
+  return !state.Draining && !state.Restarted;
 }
 
-bool ReplicaView::versionServes(const WeightsRef &weights,
-                                std::uint64_t version, Instant now) const {
-  auto replaced = replacedAt(weights, version);
-  return !replaced || now - *replaced < Setup.OldVersionGrace;
+bool ReplicaView::isVersionUsable(const WeightsRef &weights,
+                                  std::uint64_t version, Instant now) const {
+  auto replacedSince = replacedAt(weights, version);
+  return !replacedSince || now - *replacedSince < Options.OldVersionGrace;
 }
 
 std::optional<Instant> ReplicaView::replacedAt(const WeightsRef &weights,
                                                std::uint64_t version) const {
-  // Base models are replaced in place, one after the other.
+  // Base models are replaced in place, one replica after the other.
   if (weights.Adapter.empty())
     return std::nullopt;
   return Versions.replacedAt(weights, version);
@@ -237,10 +244,10 @@
 
 std::optional<Instant> ReplicaView::mustBeginBy(const WeightsRef &weights,
                                                 std::uint64_t version) const {
-  auto replaced = replacedAt(weights, version);
-  if (!replaced)
+  auto replacedSince = replacedAt(weights, version);
+  if (!replacedSince)
     return std::nullopt;
-  return *replaced + Setup.OldVersionEnd;
+  return *replacedSince + Options.OldVersionEnd;
 }
 
 std::uint64_t ReplicaView::partKey(const RouteQuery &query,
@@ -250,127 +257,128 @@
   return (part ^ std::hash<std::string>{}(weights)) * Odd;
 }
 
-std::uint32_t ReplicaView::sharedTokens(const Seen &seen,
+std::uint32_t ReplicaView::cachedTokens(const ReplicaState &state,
                                         const RouteQuery &query) const {
   if (query.PromptParts.empty())
     return 0;
   std::size_t n = 0;
   while (n < query.PromptParts.size() &&
-         seen.Parts.contains(partKey(query, query.PromptParts[n])))
+         state.CachedParts.contains(partKey(query, query.PromptParts[n])))
     ++n;
   return static_cast<std::uint32_t>(query.SharedTokens * n /
                                     query.PromptParts.size());
 }
 
-bool ReplicaView::hasRoom(const Seen &seen, const RouteQuery &query,
+bool ReplicaView::hasRoom(const ReplicaState &state, const RouteQuery &query,
                           Instant now) const {
-  const auto *service = Plan ? Plan->service(seen.Record->Service) : nullptr;
+  const auto *service = Plan ? Plan->service(state.Record->Service) : nullptr;
   if (!service || !service->Engine)
-    return !Setup.UseWindows || !seen.Window ||
-           seen.Window->hasRoom(seen.Own, now);
-  auto running = seen.Own + seen.Others;
-  double bound = service->Engine->Slots * (1 + Setup.QueueShare);
+    return !Options.UseWindows || !state.Window ||
+           state.Window->hasRoom(state.OwnRunning, now);
+  auto running = state.OwnRunning + state.RunningElsewhere;
+  double bound = service->Engine->Slots * (1 + Options.QueueShare);
   if (running + 1 > bound)
     return false;
-  if (!service->Engine->MemoryTokens || seen.Own == 0)
+  if (!service->Engine->MemoryTokens || state.OwnRunning == 0)
     return true;
-  // The requests of other nodes are taken to be as large as our own.
-  double each =
-      static_cast<double>(seen.OwnTokens) / static_cast<double>(seen.Own);
-  double tokens = each * running + query.Tokens;
-  return tokens <=
-         Setup.MemoryShare * static_cast<double>(service->Engine->MemoryTokens);
+  // Requests of other nodes are assumed to be as large as this node's.
+  double tokensPerRequest = static_cast<double>(state.OwnTokens) /
+                            static_cast<double>(state.OwnRunning);
+  double tokens = tokensPerRequest * running + query.Tokens;
+  return tokens <= Options.MemoryShare *
+                       static_cast<double>(service->Engine->MemoryTokens);
 }
 
-double ReplicaView::usualFailures(const std::string &service,
-                                  Instant now) const {
-  double least = 1;
+double ReplicaView::typicalErrorShare(const std::string &service,
+                                      Instant now) const {
+  double lowest = 1;
   auto all = ByService.find(service);
   if (all == ByService.end())
-    return least;
+    return lowest;
   for (const auto *it : all->second)
-    if (usable(*it))
-      least = std::min(least, it->Health.replicaErrorShare(now));
-  return least + Setup.UsualFailures;
-}
-
-double ReplicaView::cost(const Seen &seen, const RouteQuery &query,
-                         double usualFailures, Instant now) const {
-  double out = static_cast<double>(seen.Own + seen.Others) /
-               std::max(1U, seen.Record->Slots);
-  if (seen.Record->FailureDomain != Setup.FailureDomain)
-    out += Setup.RemoteCost;
-  double own =
-      std::max(0.0, seen.Health.replicaErrorShare(now) - usualFailures);
-  out += Setup.FailureCost * (seen.Health.failureShare(now) + own);
-  if (seen.Health.isOverdue(now))
-    out += Setup.OverdueCost;
-  auto backlog = std::max(Span(0), seen.BusyUntil - now);
-  out += Setup.BacklogCost * inSeconds(backlog);
+    if (isUsable(*it))
+      lowest = std::min(lowest, it->Health.replicaErrorShare(now));
+  return lowest + Options.TypicalErrorShare;
+}
+
+double ReplicaView::cost(const ReplicaState &state, const RouteQuery &query,
+                         double typicalErrorShare, Instant now) const {
+  double out = static_cast<double>(state.OwnRunning + state.RunningElsewhere) /
+               std::max(1U, state.Record->Slots);
+  if (state.Record->FailureDomain != Options.FailureDomain)
+    out += Options.RemoteCost;
+  double excessErrors =
+      std::max(0.0, state.Health.replicaErrorShare(now) - typicalErrorShare);
+  out += Options.FailureCost * (state.Health.failureShare(now) + excessErrors);
+  if (state.Health.isOverdue(now))
+    out += Options.OverdueCost;
+  auto backlog = std::max(Span(0), state.PrefillUntil - now);
+  out += Options.BacklogCost * inSeconds(backlog);
   constexpr double Thousand = 1000;
-  out -= Setup.PrefixGain * sharedTokens(seen, query) / Thousand;
+  out -= Options.PrefixGain * cachedTokens(state, query) / Thousand;
   return out;
 }
 
 RouteChoice ReplicaView::choose(const RouteQuery &query, Instant now) {
   RouteChoice out;
-  const Seen *best = nullptr;
-  double lowest = 0;
-  bool full = false;
-  bool known = false;
-  bool near = false;
-  Instant soonest = Instant::max();
-  // An engine's own failures are too few to tell it from its like.
-  double usual = query.Weights ? 1 : usualFailures(query.Service, now);
-  static const std::vector<Seen *> None;
+  const ReplicaState *best = nullptr;
+  double lowestCost = 0;
+  bool anyFull = false;
+  bool anyUsable = false;
+  bool anyNear = false;
+  Instant earliestReady = Instant::max();
+  // Engines serve too few requests to compare their error shares.
+  double typicalErrors =
+      query.Weights ? 1 : typicalErrorShare(query.Service, now);
+  static const std::vector<ReplicaState *> None;
   auto all = ByService.find(query.Service);
   for (const auto *it : all == ByService.end() ? None : all->second) {
-    const auto &seen = *it;
-    if (!usable(seen) || (seen.VanishesAt && now >= *seen.VanishesAt))
+    const auto &state = *it;
+    if (!isUsable(state) || (state.RemoveAt && now >= *state.RemoveAt))
       continue;
-    known = true;
-    near = near || seen.Record->FailureDomain == Setup.FailureDomain;
-    if (query.excludes(seen.Record->Incarnation.text(), now))
+    anyUsable = true;
+    anyNear = anyNear || state.Record->FailureDomain == Options.FailureDomain;
+    if (query.isExcluded(state.Record->Incarnation.text(), now))
       continue;
     if (query.Weights) {
-      auto held = seen.Held.find(*query.Weights);
-      if (held == seen.Held.end() || held->second.Leaving ||
-          !versionServes(*query.Weights, held->second.Version, now))
+      auto held = state.Held.find(*query.Weights);
+      if (held == state.Held.end() || held->second.Leaving ||
+          !isVersionUsable(*query.Weights, held->second.Version, now))
         continue;
       if (held->second.ReadyAt > now) {
-        soonest = std::min(soonest, held->second.ReadyAt);
+        earliestReady = std::min(earliestReady, held->second.ReadyAt);
         continue;
       }
     }
-    if (!hasRoom(seen, query, now)) {
-      full = true;
+    if (!hasRoom(state, query, now)) {
+      anyFull = true;
       continue;
     }
-    double its = cost(seen, query, usual, now);
-    if (best && its >= lowest)
+    double candidateCost = cost(state, query, typicalErrors, now);
+    if (best && candidateCost >= lowestCost)
       continue;
-    best = &seen;
-    lowest = its;
+    best = &state;
+    lowestCost = candidateCost;
   }
   if (!best) {
-    out.ReadyAt = soonest;
-    if (!known)
+    out.ReadyAt = earliestReady;
+    if (!anyUsable)
       out.Result = RouteChoice::Kind::NoReplica;
-    else if (soonest != Instant::max())
+    else if (earliestReady != Instant::max())
       out.Result = RouteChoice::Kind::AwaitLoad;
-    else if (full)
+    else if (anyFull)
       out.Result = RouteChoice::Kind::Full;
     else
       out.Result = query.Weights ? RouteChoice::Kind::NotLoaded
                                  : RouteChoice::Kind::Full;
     return out;
   }
-  auto bound = paceBound(query, now);
-  bool paced = query.Weights && best->BusyUntil - now > bound;
+  auto bound = maxPrefillBacklog(query, now);
+  bool mustWait = query.Weights && best->PrefillUntil - now > bound;
   out.Result =
-      paced ? RouteChoice::Kind::AwaitPrefill : RouteChoice::Kind::Send;
-  out.ReadyAt = best->BusyUntil - bound;
-  out.PrefillIdle = best->BusyUntil <= now;
+      mustWait ? RouteChoice::Kind::AwaitPrefill : RouteChoice::Kind::Send;
+  out.ReadyAt = best->PrefillUntil - bound;
+  out.PrefillIdle = best->PrefillUntil <= now;
   out.Replica = best->Record;
   if (query.Weights) {
     out.Version = best->Held.at(*query.Weights).Version;
@@ -378,19 +386,20 @@
     out.ReplacedAt = replacedAt(*query.Weights, out.Version);
     out.MustBeginBy = mustBeginBy(*query.Weights, out.Version);
   }
-  out.Remote = near && best->Record->FailureDomain != Setup.FailureDomain;
-  out.Running = best->Own + best->Others;
-  if (best->OthersAt > Instant{})
-    out.LoadAge = now - best->OthersAt;
+  out.Remote = anyNear && best->Record->FailureDomain != Options.FailureDomain;
+  out.Running = best->OwnRunning + best->RunningElsewhere;
+  if (best->RunningElsewhereAt > Instant{})
+    out.LoadAge = now - best->RunningElsewhereAt;
   return out;
 }
 
-Span ReplicaView::paceBound(const RouteQuery &query, Instant now) const {
+Span ReplicaView::maxPrefillBacklog(const RouteQuery &query,
+                                    Instant now) const {
   if (now >= query.OnTimeUntil)
-    return -Setup.LateIdle;
-  constexpr std::uint32_t MostRanks = 4;
-  return Setup.PaceBacklog -
-         Setup.RankStep * static_cast<int>(std::min(MostRanks, query.Rank));
+    return -Options.LateIdle;
+  constexpr std::uint32_t MaxRank = 4;
+  return Options.PaceBacklog -
+         Options.RankStep * static_cast<int>(std::min(MaxRank, query.Rank));
 }
 
 std::uint64_t ReplicaView::onSent(const std::string &replica,
@@ -399,26 +408,27 @@
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return attempt;
-  auto &seen = it->second;
-  ++seen.Own;
-  seen.OwnTokens += query.Tokens;
-  seen.Health.onSent(attempt, now);
-  if (!query.Weights && !seen.Window) {
-    auto window = Setup.Window;
-    constexpr double FirstParts = 2;
-    window.First = std::max(1.0, FirstParts * Part * seen.Record->Slots);
-    seen.Window.emplace(window);
+  auto &state = it->second;
+  ++state.OwnRunning;
+  state.OwnTokens += query.Tokens;
+  state.Health.onSent(attempt, now);
+  if (!query.Weights && !state.Window) {
+    auto window = Options.Window;
+    constexpr double InitialShares = 2;
+    window.InitialSize =
+        std::max(1.0, InitialShares * TrafficShare * state.Record->Slots);
+    state.Window.emplace(window);
   }
-  if (seen.Window)
-    seen.Window->onSent(now);
+  if (state.Window)
+    state.Window->onSent(now);
   if (query.Weights) {
-    ++seen.OwnUses[*query.Weights];
-    seen.BusyUntil =
-        std::max(now, seen.BusyUntil) +
-        timeToRead(seen.Record->Service, unreadTokens(seen, query));
+    ++state.OwnByWeights[*query.Weights];
+    state.PrefillUntil =
+        std::max(now, state.PrefillUntil) +
+        prefillTime(state.Record->Service, uncachedTokens(state, query));
   }
-  for (auto part : query.PromptParts)
-    seen.Parts[partKey(query, part)] = now;
+  for (auto promptPart : query.PromptParts)
+    state.CachedParts[partKey(query, promptPart)] = now;
   return attempt;
 }
 
@@ -434,151 +444,154 @@
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return;
-  auto &seen = it->second;
-  if (seen.Window && verdict == AttemptVerdict::Shed)
-    seen.Window->onShed(now);
-  else if (seen.Window && verdict != AttemptVerdict::NoValidAnswer)
-    seen.Window->onAnswered(now - query.SentAt, query.TargetLatency, seen.Own,
-                            Part * seen.Record->Slots, now);
-  seen.Own -= seen.Own ? 1 : 0;
-  seen.OwnTokens -= std::min<std::uint64_t>(seen.OwnTokens, query.Tokens);
-  seen.Health.onEnd(attempt, verdict, now);
+  auto &state = it->second;
+  if (state.Window && verdict == AttemptVerdict::Shed)
+    state.Window->onShed(now);
+  else if (state.Window && verdict != AttemptVerdict::NoValidAnswer)
+    state.Window->onAnswered(now - query.SentAt, query.TargetLatency,
+                             state.OwnRunning,
+                             TrafficShare * state.Record->Slots, now);
+  state.OwnRunning -= state.OwnRunning ? 1 : 0;
+  state.OwnTokens -= std::min<std::uint64_t>(state.OwnTokens, query.Tokens);
+  state.Health.onEnd(attempt, verdict, now);
   if (!query.Weights)
     return;
-  auto use = seen.OwnUses.find(*query.Weights);
-  if (use != seen.OwnUses.end() && --use->second == 0)
-    seen.OwnUses.erase(use);
+  auto running = state.OwnByWeights.find(*query.Weights);
+  if (running != state.OwnByWeights.end() && --running->second == 0)
+    state.OwnByWeights.erase(running);
 }
 
 void ReplicaView::onWeightsRefused(const std::string &replica,
                                    const WeightsRef &weights, bool missing,
                                    Instant now) {
-  // What is being loaded is tried again after a tenth of what a load takes.
-  constexpr auto Again = std::chrono::milliseconds(30);
+  // Weights that are being loaded are retried after a tenth of a load time.
+  constexpr auto RetryDelay = std::chrono::milliseconds(30);
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return;
   auto held = it->second.Held.find(weights);
   if (held == it->second.Held.end())
     return;
-  // An engine says the same of weights that it is just loading as of ones that
-  // it does not have; what should have been ready a moment ago is taken to be
-  // late.
-  constexpr auto Late = std::chrono::milliseconds(1000);
-  // Counted from when it was first due: the next try is no new date.
-  auto &late = it->second.LateSince;
-  auto due = late.try_emplace(weights, held->second.ReadyAt).first;
-  if (missing && now - due->second > Late) {
-    late.erase(due);
+  // An engine gives the same answer for weights that it is loading and for
+  // weights that it does not have, so weights that were due only a moment ago
+  // are assumed to be late.
+  constexpr auto MaxDelay = std::chrono::milliseconds(1000);
+  // Measured from the time at which they were first due: a retry does not
+  // postpone it.
+  auto &dueTimes = it->second.RejectedDueAt;
+  auto due = dueTimes.try_emplace(weights, held->second.ReadyAt).first;
+  if (missing && now - due->second > MaxDelay) {
+    dueTimes.erase(due);
     it->second.Held.erase(held);
   } else {
-    held->second.ReadyAt = now + Again;
+    held->second.ReadyAt = now + RetryDelay;
   }
 }
 
 void ReplicaView::onReplaced(const std::string &replica) {
   if (auto it = Replicas.find(replica); it != Replicas.end()) {
-    it->second.Replaced = true;
+    it->second.Restarted = true;
     ++Revision;
   }
 }
 
 std::vector<ReplicaIncarnation> ReplicaView::removeExpired(Instant now) {
-  std::vector<ReplicaIncarnation> gone;
-  constexpr auto KeepGone = std::chrono::seconds(10);
+  std::vector<ReplicaIncarnation> removed;
+  constexpr auto RetentionTime = std::chrono::seconds(10);
   for (auto it = Replicas.begin(); it != Replicas.end();) {
-    auto &seen = it->second;
-    if (seen.VanishesAt && now >= *seen.VanishesAt && !seen.Leaving) {
-      seen.Leaving = true;
+    auto &state = it->second;
+    if (state.RemoveAt && now >= *state.RemoveAt && !state.Draining) {
+      state.Draining = true;
       ++Revision;
     }
-    bool isGone = seen.VanishesAt && now >= *seen.VanishesAt;
-    if (isGone && !std::exchange(seen.GoneTold, true))
-      gone.push_back(seen.Record->Incarnation);
-    bool over = seen.VanishesAt && now >= *seen.VanishesAt + KeepGone;
-    if (seen.Parts.size() > Setup.MaxPromptParts)
-      seen.Parts.clear();
-    if (!over || seen.Own > 0) {
+    bool isRemoved = state.RemoveAt && now >= *state.RemoveAt;
+    if (isRemoved && !std::exchange(state.RemovalReturned, true))
+      removed.push_back(state.Record->Incarnation);
+    bool retentionOver =
+        state.RemoveAt && now >= *state.RemoveAt + RetentionTime;
+    if (state.CachedParts.size() > Options.MaxPromptParts)
+      state.CachedParts.clear();
+    if (!retentionOver || state.OwnRunning > 0) {
       ++it;
       continue;
     }
-    const auto &life = seen.Record->Incarnation;
-    if (auto at = Lives.find(life.id());
-        at != Lives.end() && at->second == life)
-      Lives.erase(at);
+    const auto &incarnation = state.Record->Incarnation;
+    if (auto at = LatestIncarnations.find(incarnation.id());
+        at != LatestIncarnations.end() && at->second == incarnation)
+      LatestIncarnations.erase(at);
     it = Replicas.erase(it);
   }
-  index();
-  return gone;
+  rebuildIndex();
+  return removed;
 }
 
-void ReplicaView::index() {
+void ReplicaView::rebuildIndex() {
   ByService.clear();
-  for (auto &[id, seen] : Replicas)
-    ByService[seen.Record->Service].push_back(&seen);
+  for (auto &[id, state] : Replicas)
+    ByService[state.Record->Service].push_back(&state);
 }
 
 std::vector<ReplicaPtr>
 ReplicaView::replicasIn(const std::string &domain) const {
   std::vector<ReplicaPtr> out;
-  for (const auto &[id, seen] : Replicas)
-    if (usable(seen) && seen.Record->FailureDomain == domain)
-      out.push_back(seen.Record);
+  for (const auto &[id, state] : Replicas)
+    if (isUsable(state) && state.Record->FailureDomain == domain)
+      out.push_back(state.Record);
   return out;
 }
 
 std::vector<ReplicaPtr> ReplicaView::inUse() const {
   std::vector<ReplicaPtr> out;
-  for (const auto &[id, seen] : Replicas)
-    if (usable(seen))
-      out.push_back(seen.Record);
+  for (const auto &[id, state] : Replicas)
+    if (isUsable(state))
+      out.push_back(state.Record);
   return out;
 }
 
 bool ReplicaView::anyPendingRemoval() const {
   return std::any_of(Replicas.begin(), Replicas.end(), [](const auto &it) {
-    return usable(it.second) && it.second.VanishesAt;
+    return isUsable(it.second) && it.second.RemoveAt;
   });
 }
 
 std::map<std::string, std::uint32_t>
 ReplicaView::ownRunning(const std::string &domain) const {
   std::map<std::string, std::uint32_t> out;
-  for (const auto &[id, seen] : Replicas)
-    if (seen.Own && seen.Record->FailureDomain == domain)
-      out[id] = seen.Own;
+  for (const auto &[id, state] : Replicas)
+    if (state.OwnRunning && state.Record->FailureDomain == domain)
+      out[id] = state.OwnRunning;
   return out;
 }
 
 std::map<std::pair<std::string, WeightsRef>, std::uint32_t>
 ReplicaView::ownUses(const std::string &domain) const {
   std::map<std::pair<std::string, WeightsRef>, std::uint32_t> out;
-  for (const auto &[id, seen] : Replicas)
-    if (seen.Record->FailureDomain == domain)
-      for (const auto &[weights, n] : seen.OwnUses)
+  for (const auto &[id, state] : Replicas)
+    if (state.Record->FailureDomain == domain)
+      for (const auto &[weights, n] : state.OwnByWeights)
         out[{id, weights}] = n;
   return out;
 }
 
 bool ReplicaView::isDraining(const std::string &replica) const {
   auto it = Replicas.find(replica);
-  return it != Replicas.end() && it->second.Leaving;
+  return it != Replicas.end() && it->second.Draining;
 }
 
 Instant ReplicaView::onTimeUntil(const RouteQuery &query,
                                  Instant arrivedAt) const {
-  // Answers take longer and shorter than usual.
-  constexpr double Spread = 1.4;
-  constexpr double MostShare = 0.8;
+  // Allows for the variation of response times.
+  constexpr double VariationFactor = 1.4;
+  constexpr double MaxShare = 0.8;
   auto all = ByService.find(query.Service);
-  Span quickest = query.TargetLatency;
+  Span shortest = query.TargetLatency;
   if (all != ByService.end())
     for (const auto *it : all->second)
-      if (usable(*it))
-        quickest = std::min(quickest, it->Health.typicalFirstByte());
+      if (isUsable(*it))
+        shortest = std::min(shortest, it->Health.typicalFirstByte());
   return arrivedAt + query.TargetLatency -
-         std::min(scaled(quickest, Spread),
-                  scaled(query.TargetLatency, MostShare));
+         std::min(scaled(shortest, VariationFactor),
+                  scaled(query.TargetLatency, MaxShare));
 }
 
 Span ReplicaView::typicalFirstByte(const std::string &replica) const {
--- a/Hemlockglade/Coordination/Route/SendWindow.cpp
+++ b/Hemlockglade/Coordination/Route/SendWindow.cpp
@@ -5,47 +5,48 @@
 namespace hemlockglade {
 
 bool SendWindow::hasRoom(std::uint32_t running, Instant now) const {
-  if (Window >= 1)
-    return static_cast<double>(running) + 1 <= Window;
-  return running == 0 && now >= SentAt + scaled(Usual, 1 / Window);
+  if (Size >= 1)
+    return static_cast<double>(running) + 1 <= Size;
+  return running == 0 && now >= SentAt + scaled(TypicalTime, 1 / Size);
 }
 
-void SendWindow::fall(double factor, double least, Instant now) {
-  if (now - FellAt < Setup.FallEvery)
+void SendWindow::shrink(double factor, double minSize, Instant now) {
+  if (now - ShrunkAt < Options.MinShrinkInterval)
     return;
-  FellAt = now;
-  Window = std::min(Window, std::max(least, Window * factor));
+  ShrunkAt = now;
+  Size = std::min(Size, std::max(minSize, Size * factor));
 }
 
 void SendWindow::onShed(Instant now) {
-  fall(Setup.ShedFactor, Setup.Least, now);
+  shrink(Options.ShedFactor, Options.MinSize, now);
 }
 
-void SendWindow::noteTime(Span took, Instant now) {
-  if (Usual == Span(0)) {
-    Usual = Idle = took;
+void SendWindow::recordTime(Span took, Instant now) {
+  if (TypicalTime == Span(0)) {
+    TypicalTime = IdleTime = took;
   } else {
-    Usual += scaled(took - Usual, Setup.Step);
-    auto rise = 1 + Setup.IdleRise * inSeconds(now - NotedAt);
-    Idle = std::min(Usual, scaled(Idle, rise));
+    TypicalTime += scaled(took - TypicalTime, Options.SmoothingFactor);
+    auto growth = 1 + Options.IdleGrowthPerSecond * inSeconds(now - RecordedAt);
+    IdleTime = std::min(TypicalTime, scaled(IdleTime, growth));
   }
-  NotedAt = now;
+  RecordedAt = now;
 }
 
 void SendWindow::onAnswered(Span took, Span target, std::uint32_t running,
-                            double part, Instant now) {
-  noteTime(took, now);
-  auto late = std::clamp(scaled(Idle, Setup.LateFactorOfIdle),
-                         scaled(target, Setup.LateShare),
-                         scaled(target, Setup.MostLateShare));
-  if (Usual > late) {
-    // The next fall takes more answers that are late.
-    Usual = late;
-    return fall(Setup.LateFactor, std::max(Setup.Least, part), now);
+                            double minSize, Instant now) {
+  recordTime(took, now);
+  auto lateTime = std::clamp(scaled(IdleTime, Options.LateIdleFactor),
+                             scaled(target, Options.LateShare),
+                             scaled(target, Options.MaxLateShare));
+  if (TypicalTime > lateTime) {
+    // Further late answers are required before the next reduction.
+    TypicalTime = lateTime;
+    return shrink(Options.LateFactor, std::max(Options.MinSize, minSize), now);
   }
-  // Only where more were wanted.
-  if (static_cast<double>(running) + 1 >= Window)
-    Window = std::min(Setup.Most, Window + Setup.Rise * std::min(1.0, Window));
+  // Grows only if the window was fully used.
+  if (static_cast<double>(running) + 1 >= Size)
+    Size = std::min(Options.MaxSize,
+                    Size + Options.GrowthShare * std::min(1.0, Size));
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/SendWindow.h
+++ b/Hemlockglade/Coordination/Route/SendWindow.h
@@ -4,69 +4,73 @@
 
 namespace hemlockglade {
 
-/// How many requests one entry keeps at one replica of a plain service.
+/// Limits the number of requests that one entry has at one replica of a plain
+/// service.
 ///
-/// Answers the load of several entries that share replicas which queue more
-/// than they can answer in time: none of them sees the others' requests, so
-/// each goes by what the replica does. The window falls when the replica sheds
-/// or answers late for queueing, and rises while it is used up; what finds no
-/// room waits at the entry, where the most urgent goes first. No clock.
+/// Handles several entries that share replicas which queue more than they can
+/// answer in time: no entry knows the others' requests, so each adapts to the
+/// replica's responses. The window shrinks when the replica sheds a request or
+/// queueing makes its answers late, and grows while it is fully used. Requests
+/// that find no room wait at the entry, where the most urgent ones are sent
+/// first. Deterministic: time is passed in.
 class SendWindow {
 public:
   struct Settings {
-    double First = 6;
-    /// Below 1 it is a share of the time in which one request may be there, so
-    /// that many entries fit before a replica with few slots.
-    double Least = 0.05;
-    double Most = 512;
-    /// What is left of the window after the replica shed a request, and after
-    /// it answered late.
+    double InitialSize = 6;
+    /// A size below 1 is the share of the time in which one request may be at
+    /// the replica, so that many entries can share a replica with few slots.
+    double MinSize = 0.05;
+    double MaxSize = 512;
+    /// Factors by which the window shrinks after the replica shed a request,
+    /// and after its answers were late.
     double ShedFactor = 0.7;
     double LateFactor = 0.8;
-    /// Answers are late for queueing where they usually take more than this
-    /// share of the target latency, and than so many times what they take at
-    /// an idle replica.
+    /// Answers are late because of queueing if their typical time exceeds this
+    /// share of the target latency and this many times the typical time of an
+    /// idle replica.
     double LateShare = 0.35;
-    double LateFactorOfIdle = 1.4;
-    /// Above this share they are late in any case: one that has only seen a
-    /// busy replica does not know what an idle one takes.
-    double MostLateShare = 0.6;
-    /// Share by which the window rises with a window of answers.
-    double Rise = 0.1;
-    /// Weight of the newest answer in the usual time.
-    double Step = 0.2;
-    /// What an idle replica takes may rise by this share in a second.
-    double IdleRise = 0.02;
-    /// Least time between two falls: what was under way at the first tells
-    /// nothing new.
-    Span FallEvery = std::chrono::milliseconds(100);
+    double LateIdleFactor = 1.4;
+    /// Above this share of the target latency they are late in any case: if
+    /// only a busy replica has been observed, the idle time is not known.
+    double MaxLateShare = 0.6;
+    /// Share by which a fully used window grows over as many answers as its
+    /// size.
+    double GrowthShare = 0.1;
+    /// Weight of the newest answer in the typical time.
+    double SmoothingFactor = 0.2;
+    /// Share by which the estimated idle time may rise in a second.
+    double IdleGrowthPerSecond = 0.02;
+    /// Minimum time between two reductions: requests that were running at the
+    /// first one carry no new information.
+    Span MinShrinkInterval = std::chrono::milliseconds(100);
   };
 
   explicit SendWindow(const Settings &settings)
-      : Setup(settings), Window(settings.First) {}
+      : Options(settings), Size(settings.InitialSize) {}
 
   bool hasRoom(std::uint32_t running, Instant now) const;
   void onSent(Instant now) { SentAt = now; }
-  double size() const { return Window; }
-  /// The replica answered a request; `running` of this entry were there. The
-  /// window does not fall below `part`, this entry's part of its slots, for
-  /// being late: a replica whose work takes long is to be kept busy.
-  void onAnswered(Span took, Span target, std::uint32_t running, double part,
+  double size() const { return Size; }
+  /// Called when the replica has answered a request; `running` requests of this
+  /// entry were there. Late answers don't shrink the window below `minSize`,
+  /// this entry's share of the replica's slots: a replica whose work takes long
+  /// has to be kept busy.
+  void onAnswered(Span took, Span target, std::uint32_t running, double minSize,
                   Instant now);
   void onShed(Instant now);
 
 private:
-  void fall(double factor, double least, Instant now);
-  void noteTime(Span took, Instant now);
+  void shrink(double factor, double minSize, Instant now);
+  void recordTime(Span took, Instant now);
 
-  Settings Setup;
-  double Window;
-  /// What answers usually take, and take at an idle replica.
-  Span Usual{0};
-  Span Idle{0};
-  Instant NotedAt{};
+  Settings Options;
+  double Size;
+  /// Typical time of an answer, and its estimate for an idle replica.
+  Span TypicalTime{0};
+  Span IdleTime{0};
+  Instant RecordedAt{};
   Instant SentAt{-3'600'000'000};
-  Instant FellAt{-3'600'000'000};
+  Instant ShrunkAt{-3'600'000'000};
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Route/SharedRetryBudget.cpp
+++ b/Hemlockglade/Coordination/Route/SharedRetryBudget.cpp
@@ -2,14 +2,14 @@
 
 namespace hemlockglade {
 
-std::int64_t SharedRetryBudget::numberOf(Instant now) const {
+std::int64_t SharedRetryBudget::slotNumber(Instant now) const {
   return now.count() /
-         (Setup.Window.count() / static_cast<std::int64_t>(SlotCount));
+         (Options.Window.count() / static_cast<std::int64_t>(SlotCount));
 }
 
 SharedRetryBudget::Slot &SharedRetryBudget::slot(Slots &slots,
                                                  Instant now) const {
-  auto number = numberOf(now);
+  auto number = slotNumber(now);
   auto &out = slots[static_cast<std::size_t>(number) % SlotCount];
   if (out.Number != number)
     out = {number, 0, 0};
@@ -22,20 +22,20 @@
 
 bool SharedRetryBudget::tryConsume(const std::string &service, Instant now) {
   auto &slots = Services[service];
-  auto oldest = numberOf(now) - static_cast<std::int64_t>(SlotCount);
+  auto oldest = slotNumber(now) - static_cast<std::int64_t>(SlotCount);
   double requests = 0;
-  double repeats = 0;
+  double retries = 0;
   for (const auto &it : slots) {
     if (it.Number <= oldest)
       continue;
     requests += it.Requests;
-    repeats += it.Repeats;
+    retries += it.Retries;
   }
-  double allowed = Setup.UsedShare * Setup.RetriesPerRequest * requests +
-                   Setup.UsedFixedShare * Setup.FixedRetries * Part;
-  if (repeats + 1 > allowed)
+  double allowed = Options.UsedShare * Options.RetriesPerRequest * requests +
+                   Options.UsedFixedShare * Options.FixedRetries * TrafficShare;
+  if (retries + 1 > allowed)
     return false;
-  ++slot(slots, now).Repeats;
+  ++slot(slots, now).Retries;
   return true;
 }
 
--- a/Hemlockglade/Coordination/Route/SharedRetryBudget.h
+++ b/Hemlockglade/Coordination/Route/SharedRetryBudget.h
@@ -8,35 +8,35 @@
 
 namespace hemlockglade {
 
-/// One node's part of the budget of repeats that all nodes share: repeats of a
-/// service within a sliding window are bounded by a share of its requests and
+/// One node's share of the retry budget that all nodes share: the retries of a
+/// service within a sliding window are limited to a share of its requests plus
 /// a fixed number.
 class SharedRetryBudget {
 public:
   struct Settings {
-    /// Repeats allowed for each request, over all nodes.
+    /// Retries allowed for each request, over all nodes.
     double RetriesPerRequest = 0.2;
-    /// Repeats allowed beside, over all nodes.
+    /// Further retries allowed in each window, over all nodes.
     double FixedRetries = 20;
     Span Window = std::chrono::seconds(10);
-    /// Part of the budget that is used. The rest covers that nodes see
-    /// different numbers of requests and of each other.
+    /// Share of the budget for each request that is used. The rest allows for
+    /// nodes that see different numbers of requests and of each other.
     double UsedShare = 0.75;
-    /// Part of the fixed number that is used. The rest covers that nodes which
-    /// serve for others may share the same window with them.
+    /// Share of the fixed number that is used. The rest allows for nodes that
+    /// take over from others and use the same window as they did.
     double UsedFixedShare = 0.5;
   };
 
-  explicit SharedRetryBudget(const Settings &settings) : Setup(settings) {}
+  explicit SharedRetryBudget(const Settings &settings) : Options(settings) {}
 
-  /// A request for the service came.
+  /// Called when a request for the service is received.
   void onRequest(const std::string &service, Instant now);
-  /// Whether one more repeat may be sent; if so, it is counted.
+  /// Returns whether one more retry may be sent; if so, counts it.
   bool tryConsume(const std::string &service, Instant now);
-  /// Takes over other bounds; what is counted stays.
-  void setBounds(const Settings &settings) { Setup = settings; }
-  /// Part of the fixed number that is this node's, 0 to 1.
-  void setTrafficShare(double part) { Part = part; }
+  /// Replaces the settings; the counts stay.
+  void setBounds(const Settings &settings) { Options = settings; }
+  /// Sets this node's share of the fixed number, 0 to 1.
+  void setTrafficShare(double share) { TrafficShare = share; }
 
 private:
   static constexpr std::size_t SlotCount = 20;
@@ -44,17 +44,17 @@
   struct Slot {
     std::int64_t Number = -1;
     std::uint32_t Requests = 0;
-    std::uint32_t Repeats = 0;
+    std::uint32_t Retries = 0;
   };
   using Slots = std::array<Slot, SlotCount>;
 
   Slot &slot(Slots &slots, Instant now) const;
-  std::int64_t numberOf(Instant now) const;
+  std::int64_t slotNumber(Instant now) const;
 
-  Settings Setup;
-  /// None until others have been heard of: nodes that all start together would
-  /// each take the whole of it.
-  double Part = 0;
+  Settings Options;
+  /// 0 until other nodes are known: nodes that all start together would
+  /// otherwise each use the whole number.
+  double TrafficShare = 0;
   std::map<std::string, Slots> Services;
 };
 
--- a/UnitTests/Coordination/Route/PlainServiceTest.cpp
+++ b/UnitTests/Coordination/Route/PlainServiceTest.cpp
@@ -13,28 +13,29 @@
 /// Three replicas of six slots answer 300 requests a second.
 constexpr double Capacity = 300;
 
-PlainWorld worldOf(std::uint32_t seed, bool windows, bool turns) {
+PlainWorld worldOf(std::uint32_t seed, bool windows, bool fairQueue) {
   PlainWorld::Settings out;
   out.Seed = seed;
   out.Windows = windows;
-  out.Turns = turns;
+  out.FairQueueing = fairQueue;
   return PlainWorld(out);
 }
 
 } // namespace
 
-TEST_CASE("a window falls where a replica sheds or is late, and rises again",
-          "[plain]") {
+TEST_CASE(
+    "a send window shrinks when a replica sheds or is late, and grows again",
+    "[plain]") {
   SendWindow it(SendWindow::Settings{});
   Instant now = seconds(10);
   CHECK(it.hasRoom(5, now));
   CHECK_FALSE(it.hasRoom(6, now));
   it.onShed(now);
   CHECK(it.size() == Approx(4.2));
-  // What was under way at the first sign tells nothing new.
+  // Requests that were running at the first reduction cause no second one.
   it.onShed(now + milliseconds(50));
   CHECK(it.size() == Approx(4.2));
-  // A late answer alone says little, several do.
+  // A single late answer does not shrink the window, several do.
   auto window = it.size();
   auto answer = [&it](int ms, std::uint32_t running, Instant at) {
     it.onAnswered(milliseconds(ms), milliseconds(300), running, 1, at);
@@ -47,7 +48,7 @@
   for (int n = 0; n < 3; ++n)
     answer(180, 4, now + milliseconds(160));
   CHECK(it.size() < window);
-  // It rises only where it was used up.
+  // It grows only if it was fully used.
   window = it.size();
   for (int n = 0; n < 20; ++n)
     answer(60, 1, now + seconds(1));
@@ -55,7 +56,7 @@
   for (int n = 0; n < 40; ++n)
     answer(60, 9, now + seconds(1));
   CHECK(it.size() > 6);
-  // Below one it lets one be there for a share of the time.
+  // A window below 1 admits one request for a share of the time.
   auto last = now + seconds(102);
   for (int n = 0; n < 100; ++n)
     it.onShed(now + seconds(n + 3));
@@ -66,7 +67,8 @@
   CHECK(it.hasRoom(0, last + seconds(10)));
 }
 
-TEST_CASE("few requests of a workspace wait behind few of another", "[plain]") {
+TEST_CASE("a workspace with few requests waits behind few of another one",
+          "[plain]") {
   FairQueue it;
   std::vector<FairQueue::Ticket> many;
   many.reserve(10);
@@ -83,7 +85,8 @@
   CHECK_FALSE(it.hasWaiting("s"));
 }
 
-TEST_CASE("what can be in time goes first, then the more urgent", "[plain]") {
+TEST_CASE("requests that can be in time precede others, then more urgent ones",
+          "[plain]") {
   FairQueue it;
   auto late = it.join("s", {"a", 0, seconds(1), {}});
   auto other = it.join("s", {"b", 2, seconds(9), {}});
@@ -91,13 +94,13 @@
   CHECK(it.isNext("s", urgent, seconds(2)));
   it.onServed("s", urgent);
   CHECK(it.isNext("s", other, seconds(2)));
-  // One that found no room is passed over for a moment.
+  // A deferred request is skipped until its time.
   it.deferUntil("s", other, seconds(3));
   CHECK(it.isNext("s", late, seconds(2)));
   CHECK(it.isNext("s", other, seconds(3)));
 }
 
-TEST_CASE("most of a burst beyond the replicas' means is answered in time",
+TEST_CASE("most of a burst beyond the replicas' capacity is answered in time",
           "[plain]") {
   auto seed = GENERATE(1, 2, 3);
   auto it = worldOf(seed, true, true);
@@ -105,7 +108,7 @@
   it.advance(seconds(3));
   it.load("a", 0.8 * Capacity, seconds(3));
   it.advance(seconds(9));
-  // The replicas have means for 0.77 of what came in the burst.
+  // The replicas can serve 0.77 of the requests in the burst.
   CHECK(it.outcome().InTime >
         0.9 * (1500 + 3 * Capacity) / (1500 + 3 * 1.3 * Capacity));
   auto without = worldOf(seed, false, false);
@@ -116,7 +119,7 @@
   CHECK(it.shed() < without.shed() / 20);
 }
 
-TEST_CASE("entries that leave all to the replicas answer the burst late",
+TEST_CASE("without windows and queues fewer requests of a burst are in time",
           "[plain]") {
   auto it = worldOf(1, false, false);
   it.load("a", 0.5 * Capacity, seconds(10));
@@ -131,17 +134,18 @@
   CHECK(with.outcome().InTime > it.outcome().InTime);
 }
 
-TEST_CASE("many entries before one replica answer more in time with windows",
-          "[plain]") {
-  PlainWorld::Settings setup;
-  setup.Entries = 40;
-  setup.Replicas = 1;
-  setup.Windows = setup.Turns = true;
-  PlainWorld it(setup);
+TEST_CASE(
+    "many entries that share one replica answer more in time with windows",
+    "[plain]") {
+  PlainWorld::Settings settings;
+  settings.Entries = 40;
+  settings.Replicas = 1;
+  settings.Windows = settings.FairQueueing = true;
+  PlainWorld it(settings);
   it.load("a", 0.5 * Capacity, seconds(20));
   it.advance(seconds(21));
-  setup.Windows = setup.Turns = false;
-  PlainWorld without(setup);
+  settings.Windows = settings.FairQueueing = false;
+  PlainWorld without(settings);
   without.load("a", 0.5 * Capacity, seconds(20));
   without.advance(seconds(21));
   CAPTURE(without.outcome().InTime, without.outcome().Served, it.shed(),
@@ -149,7 +153,8 @@
   CHECK(it.outcome().InTime > 2 * without.outcome().InTime);
 }
 
-TEST_CASE("a hot workspace does not take the others' places", "[plain]") {
+TEST_CASE("a workspace above its usual load does not displace the others",
+          "[plain]") {
   auto seed = GENERATE(1, 2, 3);
   auto it = worldOf(seed, true, true);
   for (const auto *name : {"a", "b", "c", "d", "e", "f"})
@@ -165,17 +170,18 @@
   }
 }
 
-TEST_CASE("figures of the ways to share plain replicas", "[.figures]") {
+TEST_CASE("prints the results of each way to share plain replicas",
+          "[.figures]") {
   std::cout << "windows turns load in-time served shed hot others\n";
-  for (auto [windows, turns] :
+  for (auto [windows, fairQueue] :
        {std::pair(false, false), std::pair(true, false), std::pair(true, true)})
     for (double load : {0.6, 1.1, 1.4, 2.0}) {
-      auto it = worldOf(1, windows, turns);
+      auto it = worldOf(1, windows, fairQueue);
       for (const auto *name : {"a", "b", "c", "d"})
         it.load(name, 0.1 * Capacity, seconds(10));
       it.load("hot", (load - 0.4) * Capacity, seconds(10));
       it.advance(seconds(12));
-      std::cout << windows << ' ' << turns << ' ' << load << ' '
+      std::cout << windows << ' ' << fairQueue << ' ' << load << ' '
                 << it.outcome().InTime << ' ' << it.outcome().Served << ' '
                 << it.shed() << ' ' << it.outcome("hot").InTime << ' '
                 << it.outcome("a").InTime << '\n';
--- a/UnitTests/Coordination/Route/RegistryChangeLogTest.cpp
+++ b/UnitTests/Coordination/Route/RegistryChangeLogTest.cpp
@@ -14,19 +14,20 @@
   return out;
 }
 
-ReplicaChanges seen(std::uint64_t position, std::vector<ReplicaRecord> present,
-                    std::vector<std::string> removed = {}) {
+ReplicaChanges changesAt(std::uint64_t position,
+                         std::vector<ReplicaRecord> present,
+                         std::vector<std::string> removed = {}) {
   return {false, std::move(present), std::move(removed), position};
 }
 
 } // namespace
 
-TEST_CASE("changes are told in order from where a node stands", "[registry]") {
+TEST_CASE("changes after a position are returned in order", "[registry]") {
   RegistryChangeLog log({});
   log.onReplicas({true, {replica("i-1")}, {}, 10});
-  CHECK(log.onReplicas(seen(12, {replica("i-2")})));
-  CHECK(log.onReplicas(seen(15, {}, {"i-2"})));
-  CHECK(log.onReplicas(seen(16, {replica("i-2")})));
+  CHECK(log.onReplicas(changesAt(12, {replica("i-2")})));
+  CHECK(log.onReplicas(changesAt(15, {}, {"i-2"})));
+  CHECK(log.onReplicas(changesAt(16, {replica("i-2")})));
   auto all = log.replicas().since(10);
   REQUIRE(all);
   REQUIRE(all->size() == 3);
@@ -38,31 +39,31 @@
   CHECK(log.replicas().position() == 16);
 }
 
-TEST_CASE("a node that stands before what is kept is told nothing",
+TEST_CASE("no changes are returned for a position before the oldest one kept",
           "[registry]") {
   RegistryChangeLog log({2});
   CHECK_FALSE(log.replicas().since(0));
   log.onReplicas({true, {}, {}, 10});
   CHECK_FALSE(log.replicas().since(9));
   for (int it = 0; it < 3; ++it)
-    log.onReplicas(seen(11 + it, {replica("i-" + std::to_string(it))}));
+    log.onReplicas(changesAt(11 + it, {replica("i-" + std::to_string(it))}));
   CHECK_FALSE(log.replicas().since(10));
   CHECK(log.replicas().since(11)->size() == 2);
   log.onReplicas({true, {}, {}, 20});
   CHECK_FALSE(log.replicas().since(13));
 }
 
-TEST_CASE("heartbeats that change nothing are not told", "[registry]") {
+TEST_CASE("heartbeats that change nothing are not recorded", "[registry]") {
   RegistryChangeLog log({});
   log.onReplicas({true, {replica("i-1")}, {}, 10});
-  CHECK_FALSE(log.onReplicas(seen(11, {replica("i-1")})));
+  CHECK_FALSE(log.onReplicas(changesAt(11, {replica("i-1")})));
   CHECK(log.replicas().since(10)->empty());
   CHECK(log.replicas().position() == 11);
-  CHECK(log.onReplicas(seen(12, {replica("i-1", true)})));
+  CHECK(log.onReplicas(changesAt(12, {replica("i-1", true)})));
   CHECK(log.replicas().since(10)->size() == 1);
 }
 
-TEST_CASE("what operators declare is told, looks without news are not",
+TEST_CASE("declarations are recorded, polls without changes are not",
           "[registry]") {
   RegistryChangeLog log({});
   CHECK_FALSE(log.onOperator({nullptr, {}, 5}));
@@ -75,7 +76,7 @@
   CHECK(log.operators().position() == 8);
 }
 
-TEST_CASE("what a briefing told alone is not passed over in news",
+TEST_CASE("no changes are returned for a position before a restart of the log",
           "[registry]") {
   RegistryChangeLog log({});
   log.onOperator({nullptr, {}, 5});
@@ -84,7 +85,8 @@
   CHECK(log.operators().since(9));
 }
 
-TEST_CASE("a start under the same id is told", "[registry-log][life]") {
+TEST_CASE("a new incarnation under the same id is recorded",
+          "[registry-log][life]") {
   RegistryChangeLog log({});
   auto first = replica("i-1");
   first.Incarnation = ReplicaIncarnation("i-1", 1000);
--- a/UnitTests/Coordination/Route/RegistryPollSettingsTest.cpp
+++ b/UnitTests/Coordination/Route/RegistryPollSettingsTest.cpp
@@ -6,9 +6,9 @@
 
 using std::chrono::milliseconds;
 
-// A look that is never answered is known to be lost, and the next one made,
-// inside each bound that rests on looks; so is the next one after an outage.
-TEST_CASE("a look that is lost costs less than the bound that rests on it",
+// A poll that is never answered times out, and the next one is made, within
+// each bound that depends on polls; so is the next one after an outage.
+TEST_CASE("a lost poll takes less time than the bound that depends on it",
           "[registry]") {
   auto plan = GENERATE(milliseconds(100), milliseconds(500), milliseconds(2000),
                        milliseconds(12000));
@@ -24,15 +24,15 @@
   CHECK(it.MaxOperatorWait > Span(0));
 }
 
-TEST_CASE("the usual bounds give the pace that is the default", "[registry]") {
+TEST_CASE("the default bounds give the default settings", "[registry]") {
   auto it =
       RegistryPollSettings::forBounds(milliseconds(2000), milliseconds(2000));
-  RegistryPollSettings usual;
-  CHECK(it.MaxOperatorWait == usual.MaxOperatorWait);
-  CHECK(it.ReplicaPeriod == usual.ReplicaPeriod);
-  CHECK(it.AnswerTimeout == usual.AnswerTimeout);
-  CHECK(it.RetryPause == usual.RetryPause);
-  CHECK(it.MaxRetryPause == usual.MaxRetryPause);
+  RegistryPollSettings defaults;
+  CHECK(it.MaxOperatorWait == defaults.MaxOperatorWait);
+  CHECK(it.ReplicaPeriod == defaults.ReplicaPeriod);
+  CHECK(it.AnswerTimeout == defaults.AnswerTimeout);
+  CHECK(it.RetryPause == defaults.RetryPause);
+  CHECK(it.MaxRetryPause == defaults.MaxRetryPause);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Route/ReplicaViewTest.cpp
+++ b/UnitTests/Coordination/Route/ReplicaViewTest.cpp
@@ -38,8 +38,8 @@
         1, std::vector<Route>{}, std::vector{drafts, plain}, CallerLimits{}));
   }
 
-  void present(std::vector<ReplicaRecord> records, bool whole = true) {
-    View.onRegistry({whole, std::move(records), {}, 1}, false, Now);
+  void present(std::vector<ReplicaRecord> records, bool complete = true) {
+    View.onRegistry({complete, std::move(records), {}, 1}, false, Now);
   }
 
   RouteQuery query() const {
@@ -60,28 +60,28 @@
 
 } // namespace
 
-TEST_CASE("a replica that leaves gets nothing new", "[view]") {
+TEST_CASE("a draining replica gets no new requests", "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   CHECK(it.choose().Result == Kind::Send);
-  auto leaving = record("i-1");
-  leaving.Draining = true;
-  it.present({leaving}, false);
+  auto draining = record("i-1");
+  draining.Draining = true;
+  it.present({draining}, false);
   CHECK(it.choose().Result == Kind::NoReplica);
-  SECTION("also when a heartbeat from before comes late") {
+  SECTION("also when a heartbeat from before is received late") {
     it.present({record("i-1")}, false);
     CHECK(it.choose().Result == Kind::NoReplica);
   }
 }
 
-TEST_CASE("an entry that is removed ends the use of its replica", "[view]") {
+TEST_CASE("a replica whose entry is removed gets no new requests", "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onRegistry({false, {}, {"i-1"}, 2}, false, it.Now);
   CHECK(it.choose().Result == Kind::NoReplica);
 }
 
-TEST_CASE("entries that vanish behind an outage are used for a while",
+TEST_CASE("replicas whose entries disappear in an outage are used for a while",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
@@ -92,16 +92,19 @@
   CHECK(it.choose().Result == Kind::NoReplica);
 }
 
-TEST_CASE("a replica that vanished is not used beyond its time", "[view]") {
+TEST_CASE(
+    "a replica whose entry disappeared is not used after the grace period",
+    "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onRegistry({true, {}, {}, 2}, true, it.Now);
-  // Nothing but a choice looks at the time here.
+  // Only `choose` checks the time here; `removeExpired` is not called.
   it.Now += milliseconds(1701);
   CHECK(it.choose().Result == Kind::NoReplica);
 }
 
-TEST_CASE("one entry that vanishes among many has not lapsed", "[view]") {
+TEST_CASE("one entry of many that disappears counts as removed, not expired",
+          "[view]") {
   ViewFixture it;
   it.present({record("i-1"), record("i-2"), record("i-3"), record("i-4")});
   it.View.onRegistry({false, {}, {"i-1"}, 2}, true, it.Now);
@@ -111,7 +114,7 @@
   CHECK(it.choose().Replica->Incarnation.text() != "i-1");
 }
 
-TEST_CASE("weights decide who can serve", "[view]") {
+TEST_CASE("only replicas that have the weights are chosen", "[view]") {
   ViewFixture it;
   auto other = record("i-1");
   other.Held.clear();
@@ -126,7 +129,8 @@
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("an owner may tell of a replica before the registry does", "[view]") {
+TEST_CASE("residency that is received before the registry entry is applied",
+          "[view]") {
   ViewFixture it;
   it.View.onResidency("i-1", {{Adapter, {3, Instant{}}}}, it.Now);
   auto other = record("i-1");
@@ -137,7 +141,7 @@
   CHECK(choice.Version == 3);
 }
 
-TEST_CASE("an older version serves for a short time only", "[view]") {
+TEST_CASE("a replaced version is used for the grace period only", "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onVersion({Adapter, 2, it.Now});
@@ -148,7 +152,7 @@
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("a near replica is preferred until it is fuller", "[view]") {
+TEST_CASE("a near replica is preferred unless its load is higher", "[view]") {
   ViewFixture it;
   it.present({record("i-far", "hall-b"), record("i-near")});
   CHECK(it.choose().Replica->Incarnation.text() == "i-near");
@@ -158,7 +162,8 @@
   CHECK(choice.Remote);
 }
 
-TEST_CASE("slots and memory bound what runs at an engine", "[view]") {
+TEST_CASE("an engine's running requests are limited by its slots and memory",
+          "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onRunningElsewhere("i-1", 4, it.Now);
@@ -170,7 +175,7 @@
   CHECK(it.choose().Result == Kind::Full);
 }
 
-TEST_CASE("a request waits while its engine reads prompts", "[view]") {
+TEST_CASE("a request waits for the prefill backlog of its engine", "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   auto query = it.query();
@@ -179,15 +184,15 @@
   auto choice = it.View.choose(query, it.Now);
   CHECK(choice.Result == Kind::AwaitPrefill);
   CHECK(choice.ReadyAt > it.Now);
-  SECTION("until the prompts are nearly read") {
+  SECTION("until the backlog is small enough") {
     CHECK(it.View.choose(query, choice.ReadyAt).Result == Kind::Send);
   }
-  SECTION("a less urgent one a little longer") {
+  SECTION("longer if it is less urgent") {
     auto other = query;
     other.Rank = 1;
     CHECK(it.View.choose(other, choice.ReadyAt).Result == Kind::AwaitPrefill);
   }
-  SECTION("one that is late until the engine rests") {
+  SECTION("until the engine has been idle if it is late") {
     it.Now = query.OnTimeUntil;
     it.View.onSentElsewhere("i-1", 100, it.Now);
     auto late = it.View.choose(query, it.Now);
@@ -199,25 +204,26 @@
   }
 }
 
-TEST_CASE("replicas that fail or stay silent are avoided", "[view]") {
+TEST_CASE("replicas that fail or do not answer are avoided", "[view]") {
   ViewFixture it;
   it.present({record("i-1"), record("i-2")});
   auto query = it.query();
-  SECTION("bad answers") {
+  SECTION("no valid answer") {
     for (int n = 0; n < 6; ++n) {
       auto attempt = it.View.onSent("i-1", query, it.Now);
       it.View.onEnd("i-1", attempt, query, AttemptVerdict::NoValidAnswer,
                     it.Now);
     }
   }
-  SECTION("no answer") {
+  SECTION("overdue answer") {
     it.View.onSent("i-1", query, it.Now);
     it.Now += std::chrono::seconds(3);
   }
   CHECK(it.choose().Replica->Incarnation.text() == "i-2");
 }
 
-TEST_CASE("failures of their own count against the usual ones", "[view]") {
+TEST_CASE("a replica is suspect only if it has more errors than the others",
+          "[view]") {
   ViewFixture it;
   it.present({record("i-1"), record("i-2")});
   auto query = it.query();
@@ -233,7 +239,8 @@
   CHECK_FALSE(it.View.isSuspect("i-1", it.Now));
 }
 
-TEST_CASE("weights that should just be ready are taken to be late", "[view]") {
+TEST_CASE("weights that were due a moment ago count as late, not missing",
+          "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onResidency("i-1", {{Adapter, {1, it.Now}}}, it.Now);
@@ -244,42 +251,43 @@
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("refusals in a row do not put off that weights are missing",
+TEST_CASE("repeated rejections do not postpone when weights count as missing",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onResidency("i-1", {{Adapter, {1, it.Now}}}, it.Now);
-  for (Span gone{0}; gone < milliseconds(1200); gone += milliseconds(40)) {
+  for (Span elapsed{0}; elapsed < milliseconds(1200);
+       elapsed += milliseconds(40)) {
     it.Now += milliseconds(40);
     it.View.onWeightsRefused("i-1", Adapter, true, it.Now);
   }
   CHECK(it.choose().Result == Kind::NotLoaded);
-  // What its owner tells later counts from then.
+  // A later report of the owner starts a new delay.
   it.View.onResidency("i-1", {{Adapter, {1, it.Now}}}, it.Now);
   it.View.onWeightsRefused("i-1", Adapter, true, it.Now);
   CHECK(it.choose().Result == Kind::AwaitLoad);
 }
 
-TEST_CASE("entries that vanish again behind an outage get no new time",
+TEST_CASE("entries that stay missing in an outage get no longer grace period",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
-  for (std::uint64_t look = 2; look < 12; ++look) {
-    it.View.onRegistry({true, {}, {}, look}, true, it.Now);
+  for (std::uint64_t poll = 2; poll < 12; ++poll) {
+    it.View.onRegistry({true, {}, {}, poll}, true, it.Now);
     it.Now += milliseconds(200);
     it.View.removeExpired(it.Now);
   }
   CHECK(it.choose().Result == Kind::NoReplica);
 }
 
-TEST_CASE("a replica that is told to leave again and again gets no new work",
+TEST_CASE("a draining replica gets no requests after alternating heartbeats",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
-  auto leaving = record("i-1");
-  leaving.Draining = true;
+  auto draining = record("i-1");
+  draining.Draining = true;
   for (int round = 0; round < 10; ++round) {
-    it.present({leaving}, false);
+    it.present({draining}, false);
     CHECK(it.choose().Result == Kind::NoReplica);
     it.Now += milliseconds(500);
     it.present({record("i-1")}, false);
@@ -287,7 +295,8 @@
   }
 }
 
-TEST_CASE("the speed of reading is learnt from first events", "[view]") {
+TEST_CASE("the prefill speed is estimated from the times to first events",
+          "[view]") {
   PrefillSpeed speed;
   CHECK(speed.usPerToken() == Approx(50));
   for (int n = 1; n <= 40; ++n) {
@@ -299,7 +308,7 @@
 
 namespace {
 
-/// The same replica as it says of itself after a start at another time.
+/// The record of the incarnation that started at `ms`.
 ReplicaRecord startedAt(std::uint64_t ms) {
   auto out = record("i-1");
   out.Incarnation = ReplicaIncarnation("i-1", ms);
@@ -308,7 +317,7 @@
 
 } // namespace
 
-TEST_CASE("a replica that starts again under its id knows nothing of before",
+TEST_CASE("a new incarnation under the same id starts without state",
           "[view][life]") {
   ViewFixture it;
   it.present({startedAt(1000)});
@@ -327,31 +336,32 @@
   CHECK(it.View.tokensToRead("i-1#2000", query) == 1000);
   CHECK(it.View.replicasIn("hall-a").size() == 1);
   CHECK(it.View.replicasIn("hall-a")[0]->Incarnation.text() == "i-1#2000");
-  // The request that was under way there ends at its own start.
+  // The running request ends at the incarnation that it was sent to.
   it.View.onEnd("i-1#1000", 1, query, AttemptVerdict::NoValidAnswer, it.Now);
   CHECK(it.View.ownRunning("hall-a").empty());
 }
 
-TEST_CASE("a heartbeat of an earlier start changes nothing", "[view][life]") {
+TEST_CASE("a heartbeat of an earlier incarnation changes nothing",
+          "[view][life]") {
   ViewFixture it;
   it.present({startedAt(2000)});
   auto old = startedAt(1000);
   old.Draining = true;
   CHECK(it.View.onRegistry({false, {old}, {}, 2}, false, it.Now).empty());
   CHECK(it.choose().Replica->Incarnation.text() == "i-1#2000");
-  SECTION("nor does one that does not tell its start") {
+  SECTION("nor does one without a start time") {
     old.Incarnation = ReplicaIncarnation("i-1");
     it.present({old}, false);
     CHECK(it.choose().Replica->Incarnation.text() == "i-1#2000");
   }
 }
 
-TEST_CASE("a replica that left in one life serves in the next",
+TEST_CASE("a replica that was draining is used after its restart",
           "[view][life]") {
   ViewFixture it;
-  auto leaving = startedAt(1000);
-  leaving.Draining = true;
-  it.present({leaving});
+  auto draining = startedAt(1000);
+  draining.Draining = true;
+  it.present({draining});
   CHECK(it.choose().Result == Kind::NoReplica);
   it.present({startedAt(2000)}, false);
   CHECK(it.choose().Replica->Incarnation.text() == "i-1#2000");
@@ -359,7 +369,8 @@
   CHECK(it.choose().Result == Kind::NoReplica);
 }
 
-TEST_CASE("an owner may tell of a new start before the registry does",
+TEST_CASE("residency of a new incarnation that is received before its entry is "
+          "applied",
           "[view][life]") {
   ViewFixture it;
   it.present({startedAt(1000)});
@@ -371,7 +382,7 @@
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("what lies under a replica's id but is no entry changes nothing",
+TEST_CASE("an unreadable entry under a replica's id changes nothing",
           "[view][life]") {
   ViewFixture it;
   it.present({record("i-1")});
@@ -379,36 +390,35 @@
   CHECK(it.choose().Result == Kind::Send);
 }
 
-TEST_CASE("a request on weights that were replaced is told by when to begin",
+TEST_CASE("a request for replaced weights gets a time by which it must begin",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   CHECK_FALSE(it.choose().MustBeginBy);
   it.View.onVersion({Adapter, 2, it.Now});
-  auto named = it.Now;
+  auto declaredAt = it.Now;
   it.Now += milliseconds(2000);
   REQUIRE(it.choose().Result == Kind::Send);
-  CHECK(it.choose().MustBeginBy == named + milliseconds(4200));
+  CHECK(it.choose().MustBeginBy == declaredAt + milliseconds(4200));
   it.Now += milliseconds(600);
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("a name that follows another gives a replaced version no new time",
+TEST_CASE("a further declaration does not extend a replaced version's time",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   it.View.onVersion({Adapter, 2, it.Now});
-  auto named = it.Now;
+  auto declaredAt = it.Now;
   it.Now += milliseconds(2000);
   it.View.onVersion({Adapter, 3, it.Now});
   REQUIRE(it.choose().Result == Kind::Send);
-  CHECK(it.choose().MustBeginBy == named + milliseconds(4200));
+  CHECK(it.choose().MustBeginBy == declaredAt + milliseconds(4200));
   it.Now += milliseconds(600);
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("a replaced copy that was out of use stays so when a newer version "
-          "is named",
+TEST_CASE("a replaced version out of use stays so when a newer one is declared",
           "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
@@ -418,7 +428,8 @@
   CHECK(it.choose().Result == Kind::NotLoaded);
 }
 
-TEST_CASE("a replica whose entry has gone is known to leave", "[view]") {
+TEST_CASE("a replica whose entry has been removed counts as draining",
+          "[view]") {
   ViewFixture it;
   it.present({record("i-1")});
   CHECK_FALSE(it.View.isDraining("i-1"));
@@ -426,13 +437,13 @@
   CHECK(it.View.isDraining("i-1"));
 }
 
-TEST_CASE("an idle engine farther away is better than one that reads long",
+TEST_CASE("an idle remote engine is preferred to one with a long backlog",
           "[view]") {
   ViewFixture it;
   auto far = record("i-far", "hall-b");
   it.present({record("i-near"), far});
   REQUIRE(it.choose().Replica->Incarnation.text() == "i-near");
-  // 40 ms of other nodes' prompts: the near engine is not worth that wait.
+  // 40 ms of prefill for other nodes costs more than a remote engine.
   it.View.onSentElsewhere("i-near", 800, it.Now);
   auto choice = it.choose();
   CHECK(choice.Result == Kind::Send);
--- a/UnitTests/Coordination/Route/SharedRetryBudgetTest.cpp
+++ b/UnitTests/Coordination/Route/SharedRetryBudgetTest.cpp
@@ -15,7 +15,7 @@
   return out;
 }
 
-int spendAll(SharedRetryBudget &budget, Instant now) {
+int consumeAll(SharedRetryBudget &budget, Instant now) {
   int n = 0;
   while (budget.tryConsume("s", now))
     ++n;
@@ -24,19 +24,19 @@
 
 } // namespace
 
-TEST_CASE("repeats are a share of the requests and a part of the number",
+TEST_CASE("retries are limited to a share of the requests plus a fixed number",
           "[budget]") {
   SharedRetryBudget budget(settings());
   Instant now = std::chrono::seconds(100);
   budget.setTrafficShare(0.25);
   for (int it = 0; it < 50; ++it)
     budget.onRequest("s", now);
-  CHECK(spendAll(budget, now) == 15);
+  CHECK(consumeAll(budget, now) == 15);
   CHECK_FALSE(budget.tryConsume("s", now + std::chrono::seconds(9)));
 }
 
-// Of many nodes that all start together none knows of the others.
-TEST_CASE("a node that has heard of no others takes none of the number",
+// Nodes that all start together don't know of each other.
+TEST_CASE("a node that knows of no others uses none of the fixed number",
           "[budget]") {
   SharedRetryBudget::Settings settings;
   settings.FixedRetries = 320;
@@ -44,36 +44,36 @@
   CHECK_FALSE(budget.tryConsume("s", std::chrono::seconds(1000)));
 }
 
-// Nodes take turns within one window when some are lost and others serve.
-TEST_CASE("nodes that serve for others stay within the number with them",
+// Nodes that take over from failed ones use the budget of the same window.
+TEST_CASE("nodes that fail and those that replace them stay within the number",
           "[budget]") {
   SharedRetryBudget::Settings settings;
   settings.FixedRetries = 320;
-  int spent = 0;
-  // Fifteen serve; nine are lost after they have spent all, and nine others
-  // take their places.
+  int consumed = 0;
+  // Fifteen are in service; nine fail after they have used their whole share,
+  // and nine others take over.
   for (int node = 0; node < 15 + 9; ++node) {
     SharedRetryBudget budget(settings);
     budget.setTrafficShare(1.0 / 15);
-    spent += spendAll(budget, std::chrono::seconds(1000));
+    consumed += consumeAll(budget, std::chrono::seconds(1000));
   }
-  CHECK(spent <= 320);
-  CHECK(spent >= 160);
+  CHECK(consumed <= 320);
+  CHECK(consumed >= 160);
 }
 
-TEST_CASE("the window slides", "[budget]") {
+TEST_CASE("the retry budget is renewed as the window slides", "[budget]") {
   SharedRetryBudget budget(settings());
   budget.setTrafficShare(1);
   Instant now = std::chrono::seconds(100);
-  CHECK(spendAll(budget, now) == 20);
-  CHECK(spendAll(budget, now + std::chrono::seconds(11)) == 20);
+  CHECK(consumeAll(budget, now) == 20);
+  CHECK(consumeAll(budget, now + std::chrono::seconds(11)) == 20);
 }
 
-TEST_CASE("services have budgets of their own", "[budget]") {
+TEST_CASE("each service has its own budget", "[budget]") {
   SharedRetryBudget budget(settings());
   budget.setTrafficShare(1);
   Instant now = std::chrono::seconds(100);
-  spendAll(budget, now);
+  consumeAll(budget, now);
   CHECK(budget.tryConsume("other", now));
 }
 
