--- a/Hemlockglade/Coordination/Registry/DeclaredVersions.cpp
+++ b/Hemlockglade/Coordination/Registry/DeclaredVersions.cpp
@@ -4,17 +4,18 @@
 
 namespace hemlockglade {
 
-bool DeclaredVersions::add(const WeightsVersion &named) {
-  auto &all = Versions[named.Weights];
-  auto at = std::lower_bound(all.begin(), all.end(), named.Version,
-                             [](const Named &it, std::uint64_t version) {
+bool DeclaredVersions::add(const WeightsVersion &declared) {
+  auto &all = Versions[declared.Weights];
+  auto at = std::lower_bound(all.begin(), all.end(), declared.Version,
+                             [](const Declaration &it, std::uint64_t version) {
                                return it.Version < version;
                              });
-  if (at != all.end() && at->Version == named.Version)
+  if (at != all.end() && at->Version == declared.Version)
     return false;
-  all.insert(at, {named.Version, named.NotBefore});
-  // What the second of them replaced is out of use, whatever the first did.
-  while (all.size() > 1 && all[1].NotBefore + KeepFor < named.NotBefore)
+  all.insert(at, {declared.Version, declared.NotBefore});
+  // The versions below the second one were replaced longer than `KeepFor` ago,
+  // so the first declaration is not needed any more.
+  while (all.size() > 1 && all[1].NotBefore + KeepFor < declared.NotBefore)
     all.erase(all.begin());
   return true;
 }
@@ -31,11 +32,11 @@
   auto it = Versions.find(weights);
   if (it == Versions.end())
     return out;
-  // A later version may be known to be older than one before it: names come by
-  // several ways.
-  for (const auto &named : it->second)
-    if (named.Version > version)
-      out = std::min(out.value_or(named.NotBefore), named.NotBefore);
+  // A newer version may have an earlier time than one before it, because
+  // declarations are received by several ways.
+  for (const auto &declared : it->second)
+    if (declared.Version > version)
+      out = std::min(out.value_or(declared.NotBefore), declared.NotBefore);
   return out;
 }
 
--- a/Hemlockglade/Coordination/Registry/DeclaredVersions.h
+++ b/Hemlockglade/Coordination/Registry/DeclaredVersions.h
@@ -4,39 +4,39 @@
 
 namespace hemlockglade {
 
-/// The versions of weights that operators have named, and since when each older
-/// one counts as replaced. No clock.
+/// The versions of weights that operators have declared, and since when each
+/// older one counts as replaced. Deterministic: time is passed in.
 ///
-/// Each version is judged from its own successor: a name that follows changes
+/// Each version is replaced by its own successor: a later declaration changes
 /// nothing for versions that had been replaced before. A version counts as
-/// replaced from the earliest time at which its successor can have been named,
-/// which is never later than when this node heard of it.
+/// replaced from the earliest time at which its successor can have been
+/// declared, which is never later than when this node received the declaration.
 class DeclaredVersions {
 public:
   /// `keepFor`: how long after it was replaced a version may still be in use;
-  /// times beyond that need not be told apart.
+  /// times further back than that are not distinguished.
   explicit DeclaredVersions(Span keepFor) : KeepFor(keepFor) {}
 
-  /// Gives whether the version is new. What is known of a version that was
-  /// heard of before stays as it is.
-  bool add(const WeightsVersion &named);
-  /// The newest version that was named; 0 if none was.
+  /// Adds a declared version and returns whether it is new. A version that is
+  /// already known keeps its time.
+  bool add(const WeightsVersion &declared);
+  /// Returns the newest declared version; 0 if there is none.
   std::uint64_t newest(const WeightsRef &weights) const;
-  /// Since when a newer version than this one may have been in force; nothing
-  /// if none was named.
+  /// Returns the time from which a newer version than this one may have been in
+  /// force; nothing if none was declared.
   std::optional<Instant> replacedAt(const WeightsRef &weights,
                                     std::uint64_t version) const;
-  /// All that is known, for a node that knows nothing.
+  /// Returns all known versions, to initialize a node that has none.
   std::vector<WeightsVersion> all() const;
 
 private:
-  struct Named {
+  struct Declaration {
     std::uint64_t Version = 0;
     Instant NotBefore{};
   };
   Span KeepFor;
-  /// Of each weights, the older versions first.
-  std::map<WeightsRef, std::vector<Named>> Versions;
+  /// Declarations by weights, in ascending order of version.
+  std::map<WeightsRef, std::vector<Declaration>> Versions;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Registry/Registry.h
+++ b/Hemlockglade/Coordination/Registry/Registry.h
@@ -11,37 +11,39 @@
 
 namespace hemlockglade {
 
-/// How a look at the registry failed.
+/// Error of a poll of the registry.
 enum class RegistryError : std::uint8_t {
-  /// The registry did not answer, or turned the call away.
+  /// The registry did not answer, or rejected the call.
   Unavailable,
-  /// Changes since the position are no longer known: read everything anew.
+  /// Changes since the position are no longer available: everything has to be
+  /// read again.
   HistoryGone,
 };
 
-/// What operators have declared, or what has changed of it.
+/// What operators have declared, or the changes to it.
 struct OperatorChanges {
-  /// The newest plan, if it is among the changes.
+  /// The newest plan, if it changed.
   std::shared_ptr<const RoutePlan> Plan;
   std::vector<WeightsVersion> Versions;
-  /// Position behind these changes, for the next look.
+  /// Position after these changes, for the next poll.
   std::uint64_t Position = 0;
-  /// Whether anything had changed, also what is none of these.
+  /// Whether anything changed, including entries that are neither plans nor
+  /// versions.
   bool Any = false;
 };
 
-/// The replicas that are registered, or what has changed of them.
+/// The replicas that are registered, or the changes to them.
 struct ReplicaChanges {
-  /// Whether this is the whole list rather than changes.
+  /// Whether this is the complete list rather than changes.
   bool Complete = false;
   std::vector<ReplicaRecord> Present;
   /// Ids of replicas whose entries were removed.
   std::vector<std::string> Removed;
   std::uint64_t Position = 0;
-  /// Ids under which something lies that is no replica's entry. Nothing new is
-  /// known of these replicas.
+  /// Ids whose entries can't be parsed as a replica. The last known state of
+  /// these replicas stays.
   std::vector<std::string> Unreadable = {};
-  /// The registry has come back older than it was: entries that are missing may
+  /// The registry was restored to an older state: entries that are missing may
   /// be written again.
   bool RolledBack = false;
 };
@@ -49,19 +51,19 @@
 template <typename T>
 using RegistryCallback = std::function<void(tl::expected<T, RegistryError>)>;
 
-/// Where operators' declarations and replicas are found. Every function returns
-/// at once and calls back later.
+/// Access to operators' declarations and to replicas. Every asynchronous
+/// function returns immediately and calls back later.
 struct RegistryHooks {
-  /// Everything that operators have declared.
+  /// Reads everything that operators have declared.
   std::function<void(RegistryCallback<OperatorChanges>)> ReadOperator;
-  /// Waits up to `wait` for changes behind the position.
+  /// Waits up to `wait` for changes after the position.
   std::function<void(std::uint64_t position, Span wait,
                      RegistryCallback<OperatorChanges>)>
       WatchOperator;
   std::function<void(RegistryCallback<ReplicaChanges>)> ReadReplicas;
   std::function<void(std::uint64_t position, RegistryCallback<ReplicaChanges>)>
       WatchReplicas;
-  /// Read what another node passes on: `Source` of a plan or a replica.
+  /// Parse the `Source` of a plan or a replica that another node forwarded.
   std::function<std::shared_ptr<const RoutePlan>(std::string_view source)>
       ParsePlan;
   std::function<std::optional<ReplicaRecord>(std::string_view id,
@@ -69,9 +71,9 @@
       ParseReplica;
 };
 
-/// Calls to the registry and the table, by what they were for.
+/// Number of calls to the registry and the table, by purpose.
 struct RegistryCalls {
-  /// Looks at operators' declarations, and at replicas.
+  /// Polls of operators' declarations, and of replicas.
   std::uint64_t Operator = 0;
   std::uint64_t Replicas = 0;
   /// Reads and writes of lease rows.
--- a/Hemlockglade/Coordination/Registry/RegistryChangeLog.h
+++ b/Hemlockglade/Coordination/Registry/RegistryChangeLog.h
@@ -7,30 +7,35 @@
 
 namespace hemlockglade {
 
-/// Changes in the order in which they were seen, as far back as is kept.
+/// Changes in the order in which they were received, as far back as they are
+/// kept.
 template <typename T> class ChangeList {
 public:
-  /// Everything up to the position is known some other way.
+  /// Drops all changes; those up to the position are no longer available from
+  /// here.
   void reset(std::uint64_t position) {
     Kept.clear();
-    From = Newest = position;
+    StartPosition = NewestPosition = position;
   }
 
-  void add(std::uint64_t position, T changes, std::size_t most) {
-    Newest = std::max(Newest, position);
-    Kept.emplace_back(Newest, std::move(changes));
-    while (Kept.size() > most) {
-      From = Kept.front().first;
+  void add(std::uint64_t position, T changes, std::size_t maxKept) {
+    NewestPosition = std::max(NewestPosition, position);
+    Kept.emplace_back(NewestPosition, std::move(changes));
+    while (Kept.size() > maxKept) {
+      StartPosition = Kept.front().first;
       Kept.pop_front();
     }
   }
 
-  /// Nothing has changed up to the position.
-  void advance(std::uint64_t position) { Newest = std::max(Newest, position); }
+  /// Records that there are no further changes up to the position.
+  void advance(std::uint64_t position) {
+    NewestPosition = std::max(NewestPosition, position);
+  }
 
-  /// Changes behind the position, or nothing if they are not all kept.
+  /// Returns the changes after the position, or nothing if they are not all
+  /// kept.
   std::optional<std::vector<T>> since(std::uint64_t position) const {
-    if (position < From || Newest == 0)
+    if (position < StartPosition || NewestPosition == 0)
       return std::nullopt;
     std::vector<T> out;
     for (const auto &[at, changes] : Kept)
@@ -39,43 +44,47 @@
     return out;
   }
 
-  std::uint64_t position() const { return Newest; }
+  std::uint64_t position() const { return NewestPosition; }
 
 private:
-  std::uint64_t From = 0;
-  std::uint64_t Newest = 0;
+  std::uint64_t StartPosition = 0;
+  std::uint64_t NewestPosition = 0;
   std::deque<std::pair<std::uint64_t, T>> Kept;
 };
 
-/// What a node has lately seen change in the registry, for nodes that hear of
-/// it from this one instead of looking themselves. No clock, no sockets.
+/// Recent registry changes that a node has received, for nodes that receive
+/// them from this one instead of polling the registry. Deterministic: it does
+/// no I/O.
 class RegistryChangeLog {
 public:
   struct Settings {
-    /// Looks with changes that are kept: those of more than a minute.
-    std::size_t MostKept = 128;
+    /// Maximum number of polls with changes that are kept: those of more than a
+    /// minute.
+    std::size_t MaxKept = 128;
   };
 
-  explicit RegistryChangeLog(Settings settings) : Setup(settings) {}
+  explicit RegistryChangeLog(Settings settings) : Options(settings) {}
 
-  /// Each gives whether there is something new to tell.
+  /// Each records changes and returns whether there is something new to send.
   bool onOperator(const OperatorChanges &changes);
   bool onReplicas(const ReplicaChanges &changes);
-  /// What operators had declared up to the position is known some other way, so
-  /// that nothing before it can be told from here.
+  /// Drops operators' changes up to the position, which other nodes have
+  /// received some other way; earlier positions can't be continued from here.
   void restartOperators(std::uint64_t position) { Operators.reset(position); }
 
   const ChangeList<OperatorChanges> &operators() const { return Operators; }
   const ChangeList<ReplicaChanges> &replicas() const { return Replicas; }
 
 private:
-  bool matters(const ReplicaRecord &record);
+  /// Stores a replica's record; returns whether it changes anything that
+  /// affects routing.
+  bool updateReplica(const ReplicaRecord &record);
 
-  Settings Setup;
+  Settings Options;
   ChangeList<OperatorChanges> Operators;
   ChangeList<ReplicaChanges> Replicas;
-  /// Replicas as they were told last.
-  std::map<std::string, ReplicaRecord> Known;
+  /// Replicas as they were received last.
+  std::map<std::string, ReplicaRecord> KnownReplicas;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Registry/RegistryPollSettings.cpp
+++ b/Hemlockglade/Coordination/Registry/RegistryPollSettings.cpp
@@ -6,33 +6,33 @@
 
 namespace {
 
-/// Shares of a bound; what is left is for the answer and a busy host.
+/// Shares of a bound; the rest allows for the answer and a busy host.
 constexpr double WaitShare = 0.5;
-constexpr double PatienceShare = 0.35;
-constexpr double LongestPauseShare = 0.4;
+constexpr double TimeoutShare = 0.35;
+constexpr double MaxPauseShare = 0.4;
 constexpr double AgeShare = 0.75;
-constexpr auto LongestWait = std::chrono::milliseconds(2500);
-/// However short a bound is, looks are not made more often.
-constexpr auto LeastSpan = std::chrono::milliseconds(5);
+constexpr auto MaxWait = std::chrono::milliseconds(2500);
+/// Minimum interval between polls, however short a bound is.
+constexpr auto MinSpan = std::chrono::milliseconds(5);
 
-Span share(Span bound, double part, Span most) {
-  return std::clamp<Span>(scaled(bound, part), LeastSpan, most);
+Span share(Span bound, double part, Span max) {
+  return std::clamp<Span>(scaled(bound, part), MinSpan, max);
 }
 
 } // namespace
 
 RegistryPollSettings RegistryPollSettings::forBounds(Span planBound,
                                                      Span drainBound) {
-  const RegistryPollSettings usual;
+  const RegistryPollSettings defaults;
   auto bound = std::min(planBound, drainBound);
   RegistryPollSettings out;
-  out.MaxOperatorWait = share(planBound, WaitShare, LongestWait);
-  out.ReplicaPeriod = share(drainBound, WaitShare, usual.ReplicaPeriod);
-  out.AnswerTimeout = share(bound, PatienceShare, usual.AnswerTimeout);
-  out.MaxRetryPause = share(bound, LongestPauseShare, usual.MaxRetryPause);
+  out.MaxOperatorWait = share(planBound, WaitShare, MaxWait);
+  out.ReplicaPeriod = share(drainBound, WaitShare, defaults.ReplicaPeriod);
+  out.AnswerTimeout = share(bound, TimeoutShare, defaults.AnswerTimeout);
+  out.MaxRetryPause = share(bound, MaxPauseShare, defaults.MaxRetryPause);
   out.MaxOperatorAge = scaled(planBound, AgeShare);
   out.MaxReplicaAge = scaled(drainBound, AgeShare);
-  out.RetryPause = std::min(usual.RetryPause, out.MaxRetryPause);
+  out.RetryPause = std::min(defaults.RetryPause, out.MaxRetryPause);
   return out;
 }
 
--- a/Hemlockglade/Coordination/Registry/RegistryPollSettings.h
+++ b/Hemlockglade/Coordination/Registry/RegistryPollSettings.h
@@ -4,36 +4,38 @@
 
 namespace hemlockglade {
 
-/// How often a node looks at the registry, and how long it trusts a look that
-/// has not been answered.
+/// Intervals and timeouts of a node's polls of the registry.
 ///
-/// A call can be lost at either end: the registry may swallow it, or its
-/// connection may be dead without a sign. So the time until a node knows that a
-/// look is lost belongs to each bound that rests on looks. With `forBounds`,
-/// what is confirmed is known within its bound though the look that was open
-/// then is never answered, and also once the registry answers again.
+/// A call can be lost at either end: the registry may drop it, or its
+/// connection may be broken without an error. So the timeout of a lost poll is
+/// part of each bound that depends on polls. With `forBounds`, a confirmed
+/// change is received within its bound even if the poll that was open at that
+/// time is never answered, and also once the registry answers again after an
+/// outage.
 struct RegistryPollSettings {
-  /// Longest wait of one look at operators' declarations.
+  /// Maximum wait of one poll of operators' declarations.
   Span MaxOperatorWait = std::chrono::milliseconds(1000);
-  /// Time between looks at the replicas.
+  /// Interval between polls of the replicas.
   Span ReplicaPeriod = std::chrono::milliseconds(1000);
-  /// Time that the registry may take for an answer, beside a wait; a slow one
-  /// is still waited for.
+  /// Time that the registry may take for an answer, in addition to a wait; a
+  /// later answer is still accepted.
   Span AnswerTimeout = std::chrono::milliseconds(700);
-  /// Age of what a node in reserve is told from which on it looks itself: old
-  /// enough that the owner must have lost the registry, and early enough for
-  /// its own look within the bound.
+  /// Age of the forwarded data from which a standby node polls the registry
+  /// itself: late enough that the owner must have lost the registry, and early
+  /// enough for its own poll within the bound.
   Span MaxOperatorAge = std::chrono::milliseconds(3000);
   Span MaxReplicaAge = std::chrono::milliseconds(3000);
-  /// Pause after a second look that failed; once something is known, twice as
-  /// long after each further one, up to the longest. Calls are priced also
-  /// while nobody answers, but a node that knows nothing serves nobody.
+  /// Backoff after the second failed poll; once the node has data, it doubles
+  /// after each further failure, up to the maximum. Calls are charged also
+  /// while the registry does not answer, but a node without data can't serve
+  /// requests.
   Span RetryPause = std::chrono::milliseconds(300);
   Span MaxRetryPause = std::chrono::milliseconds(800);
 
-  /// The pace that keeps both bounds: on a confirmed plan, and on new work for
-  /// a replica that leaves. Neither is looked for more rarely than by default,
-  /// but for a wait of up to 2.5 s where the bound on plans allows it.
+  /// Returns the settings that keep both bounds: on applying a confirmed plan,
+  /// and on new work for a draining replica. Neither is polled less often than
+  /// by default, except for a wait of up to 2.5 s where the bound on plans
+  /// allows it.
   static RegistryPollSettings forBounds(Span planBound, Span drainBound);
 };
 
--- a/UnitTests/Coordination/Registry/DeclaredVersionsTest.cpp
+++ b/UnitTests/Coordination/Registry/DeclaredVersionsTest.cpp
@@ -26,7 +26,7 @@
   CHECK(it.newest(Adapter) == 3);
 }
 
-TEST_CASE("a version that is heard of again keeps its time",
+TEST_CASE("a version that is added again keeps its time",
           "[registry][versions]") {
   DeclaredVersions it(KeepFor);
   it.add({Adapter, 2, seconds(10)});
@@ -34,12 +34,13 @@
   CHECK(it.replacedAt(Adapter, 1) == Instant(seconds(10)));
 }
 
-TEST_CASE("a version between two known ones is judged by the later of them",
-          "[registry][versions]") {
+TEST_CASE(
+    "a version between two known ones is replaced since the later of them",
+    "[registry][versions]") {
   DeclaredVersions it(KeepFor);
   it.add({Adapter, 4, seconds(10)});
   CHECK(it.replacedAt(Adapter, 3) == Instant(seconds(10)));
-  SECTION("also when its name comes after that") {
+  SECTION("also when it is declared after the later one") {
     CHECK(it.add({Adapter, 3, seconds(11)}));
     CHECK(it.replacedAt(Adapter, 3) == Instant(seconds(10)));
     CHECK(it.replacedAt(Adapter, 2) == Instant(seconds(10)));
@@ -47,7 +48,7 @@
   }
 }
 
-TEST_CASE("no name that follows gives a replaced version time, in any order",
+TEST_CASE("a later declaration never extends a replaced version, in any order",
           "[registry][versions]") {
   rc::check([] {
     DeclaredVersions it(KeepFor);
@@ -61,7 +62,7 @@
         auto at = it.replacedAt(Adapter, held);
         RC_ASSERT(at.has_value() == (held < it.newest(Adapter)));
         auto known = before.find(held);
-        // Times beyond the span that is kept need not be told apart.
+        // Times further back than `KeepFor` are not distinguished.
         if (known != before.end() && now - known->second < KeepFor)
           RC_ASSERT(*at <= known->second);
         else if (known != before.end())
