--- a/Hemlockglade/State/Routing/CallerAccess.h
+++ b/Hemlockglade/State/Routing/CallerAccess.h
@@ -4,28 +4,29 @@
 
 namespace hemlockglade {
 
-/// What a plan says to a caller's request.
+/// Route, workspace and permission of a caller's request in a plan.
 struct CallerAccess {
   enum class Denial : std::uint8_t {
     None,
-    /// No route has the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key and the caller shows none.
+    /// The route requires a key and the caller sends none.
     NoKey,
     /// No workspace has the key.
     UnknownKey,
   };
 
   Denial Denied = Denial::None;
-  /// Set unless there is none; lives as long as the plan.
+  /// Set unless no route matches; valid as long as the plan.
   const Route *MatchedRoute = nullptr;
-  /// Workspace that the request counts for; none on routes that are open to
-  /// all, and in plans without workspaces.
+  /// Workspace whose quota the request is charged to; unset on public routes,
+  /// and in plans without workspaces.
   const Workspace *CallerWorkspace = nullptr;
 };
 
-/// Finds route and workspace of a request. A missing route goes before a
-/// missing key, since the route says whether a key is needed.
+/// Finds the route and the workspace of a request. A missing route is reported
+/// before a missing key, because the route determines whether a key is
+/// required.
 CallerAccess resolveAccess(const RoutePlan &plan, std::string_view host,
                            std::string_view path, std::string_view key);
 
--- a/Hemlockglade/State/Routing/KeyDigest.cpp
+++ b/Hemlockglade/State/Routing/KeyDigest.cpp
@@ -11,8 +11,8 @@
 
 using HashKey = std::array<std::uint8_t, crypto_generichash_KEYBYTES>;
 
-/// Drawn once for each process, so that nobody outside can choose secrets whose
-/// hashes collide.
+/// Generated once for each process, so that nobody outside can choose secrets
+/// whose hashes collide.
 const HashKey &processKey() {
   static const HashKey Key = [] {
     HashKey out{};
--- a/Hemlockglade/State/Routing/KeyDigest.h
+++ b/Hemlockglade/State/Routing/KeyDigest.h
@@ -7,9 +7,8 @@
 
 namespace hemlockglade {
 
-/// A secret's keyed hash (BLAKE2b under a random key of this process), by which
-/// the secret is looked up without being kept. Says nothing outside of the
-/// process.
+/// A secret's keyed hash (BLAKE2b under a random key of this process), used to
+/// look up the secret without storing it. Not comparable between processes.
 class KeyDigest {
 public:
   static constexpr std::size_t Size = 32;
--- a/Hemlockglade/State/Routing/ReplicaRecord.h
+++ b/Hemlockglade/State/Routing/ReplicaRecord.h
@@ -11,8 +11,8 @@
 
 namespace hemlockglade {
 
-/// Weights that a request wants or a replica holds: a base model, or an
-/// adapter of one.
+/// Weights that a request needs or a replica holds: a base model, or an adapter
+/// of one.
 struct WeightsRef {
   std::string Model;
   /// Empty for the base model itself.
@@ -25,7 +25,7 @@
   std::string text() const {
     return Adapter.empty() ? Model : Model + "/" + Adapter;
   }
-  /// Reads `model` or `model/adapter`.
+  /// Parses `model` or `model/adapter`.
   static WeightsRef parse(std::string_view text) {
     auto slash = text.find('/');
     if (slash == std::string_view::npos)
@@ -38,34 +38,35 @@
 /// Weights that a replica holds, with the version of each.
 using HeldWeights = std::map<WeightsRef, std::uint64_t>;
 
-/// What the registry says of one start of a replica.
+/// A replica's entry in the registry, for one incarnation.
 struct ReplicaRecord {
-  /// Which start of which replica this is.
   ReplicaIncarnation Incarnation;
   std::string Service;
   /// `ip:port`
   std::string Address;
   std::string FailureDomain;
   std::uint32_t Slots = 1;
-  /// It leaves: no new work.
+  /// The replica is draining: it gets no new work.
   bool Draining = false;
-  /// Time until it is taken away whatever it runs; 0 if not announced.
+  /// Time until the replica is terminated, whatever it runs; 0 if not
+  /// announced.
   Span TerminatesIn{0};
-  /// How much longer it is slow after its start.
+  /// Remaining time for which the replica is slow after its start.
   Span ColdFor{0};
-  /// What it holds, as of its last heartbeat.
+  /// Weights that the replica holds, as of its last heartbeat.
   HeldWeights Held;
-  /// The entry as it is registered, for nodes that can't read it themselves.
+  /// The entry as registered, for forwarding to nodes that can't read it
+  /// themselves.
   std::string Source;
 };
 
 using ReplicaPtr = std::shared_ptr<const ReplicaRecord>;
 
-/// A newer version of an adapter's weights that operators have named.
+/// A version of an adapter's weights that operators have declared.
 struct WeightsVersion {
   WeightsRef Weights;
   std::uint64_t Version = 0;
-  /// It was named no earlier than this, as far as is known.
+  /// Earliest time at which it can have been declared, as far as is known.
   Instant NotBefore = LongAgo;
 };
 
--- a/Hemlockglade/State/Routing/RequestKey.cpp
+++ b/Hemlockglade/State/Routing/RequestKey.cpp
@@ -7,13 +7,13 @@
 
 std::string RequestKey::text() const {
   constexpr std::string_view Digits = "0123456789abcdef";
-  constexpr unsigned Half = 4;
-  constexpr unsigned Low = 15;
+  constexpr unsigned BitsPerDigit = 4;
+  constexpr unsigned DigitMask = 15;
   std::string out;
   out.reserve(2 * Size);
   for (unsigned it : Bytes) {
-    out.push_back(Digits[it >> Half]);
-    out.push_back(Digits[it & Low]);
+    out.push_back(Digits[it >> BitsPerDigit]);
+    out.push_back(Digits[it & DigitMask]);
   }
   return out;
 }
--- a/Hemlockglade/State/Routing/RequestKey.h
+++ b/Hemlockglade/State/Routing/RequestKey.h
@@ -8,8 +8,8 @@
 
 namespace hemlockglade {
 
-/// Names a request by what it asks for: the same each time its caller sends
-/// it, at whichever node.
+/// Identifies a request by its content: the key is the same each time the
+/// caller sends it, at any node.
 class RequestKey {
 public:
   static constexpr std::size_t Size = 16;
@@ -21,11 +21,11 @@
   bool operator==(const RequestKey &) const = default;
   bool operator<(const RequestKey &other) const { return Bytes < other.Bytes; }
 
-  /// For logs and rows: 32 hexadecimal digits.
+  /// Returns 32 hexadecimal digits, for logs and rows.
   std::string text() const;
-  /// Nothing if the text is no key.
+  /// Parses 32 hexadecimal digits; returns nothing if the text is no key.
   static std::optional<RequestKey> parse(std::string_view text);
-  /// A number that is spread evenly over keys.
+  /// Returns a number that is distributed evenly over keys.
   std::uint64_t spread() const;
 
 private:
--- a/Hemlockglade/State/Routing/RoutePlan.cpp
+++ b/Hemlockglade/State/Routing/RoutePlan.cpp
@@ -40,10 +40,11 @@
 RoutePlan::RoutePlan(std::uint64_t version, std::vector<Route> routes,
                      std::vector<ServiceSpec> services, CallerLimits limits,
                      WorkspaceDirectory workspaces)
-    : Number(version), All(std::move(routes)), Services(std::move(services)),
-      Limits(limits), Workspaces(std::move(workspaces)) {
-  for (std::size_t it = 0; it < All.size(); ++it)
-    Index[lowerCase(All[it].Host)][All[it].Prefix] = it;
+    : Version(version), Routes(std::move(routes)),
+      Services(std::move(services)), Limits(limits),
+      Workspaces(std::move(workspaces)) {
+  for (std::size_t it = 0; it < Routes.size(); ++it)
+    Index[lowerCase(Routes[it].Host)][Routes[it].Prefix] = it;
 }
 
 const Route *RoutePlan::find(std::string_view host,
@@ -58,7 +59,7 @@
        slash = slash ? path.rfind('/', slash - 1) : std::string_view::npos) {
     auto it = prefixes->second.find(path.substr(0, slash + 1));
     if (it != prefixes->second.end())
-      return &All[it->second];
+      return &Routes[it->second];
   }
   return nullptr;
 }
--- a/Hemlockglade/State/Routing/Workspace.cpp
+++ b/Hemlockglade/State/Routing/Workspace.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Stands for the workspace of a key that two declare.
-constexpr std::size_t Nobody = std::numeric_limits<std::size_t>::max();
+/// Marks a key that two workspaces declare.
+constexpr std::size_t Ambiguous = std::numeric_limits<std::size_t>::max();
 
 } // namespace
 
@@ -15,16 +15,16 @@
     std::vector<WorkspaceDeclaration> declared)
     : Required(true) {
   for (auto &it : declared) {
-    auto index = Spaces.size();
+    auto index = Workspaces.size();
     for (const auto &key : it.Keys) {
       auto [at, isNew] = ByKey.try_emplace(KeyDigest(key), index);
       if (isNew || at->second == index)
         continue;
-      at->second = Nobody;
+      at->second = Ambiguous;
       Faults.push_back(it.Declared.Name +
                        ": shares a key with another workspace");
     }
-    Spaces.push_back(std::move(it.Declared));
+    Workspaces.push_back(std::move(it.Declared));
   }
 }
 
@@ -32,8 +32,8 @@
   if (key.empty())
     return nullptr;
   auto it = ByKey.find(KeyDigest(key));
-  return it == ByKey.end() || it->second == Nobody ? nullptr
-                                                   : &Spaces[it->second];
+  return it == ByKey.end() || it->second == Ambiguous ? nullptr
+                                                      : &Workspaces[it->second];
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/State/Routing/Workspace.h
+++ b/Hemlockglade/State/Routing/Workspace.h
@@ -11,29 +11,29 @@
 
 namespace hemlockglade {
 
-/// What the requests of a workspace are counted in.
+/// Unit in which a workspace's requests are counted.
 enum class LimitUnit : std::uint8_t { Requests, Tokens };
 
-/// What a workspace may send over all nodes together: within any span of time
-/// its rate times that span, and a burst beside.
+/// Quota of a workspace over all nodes together: within any time span, its rate
+/// times that span, plus a burst.
 struct WorkspaceLimit {
   LimitUnit Unit = LimitUnit::Requests;
   /// Units a second, above 0.
   double PerSecond = 0;
   /// Units, 0 or more.
   double Burst = 0;
-  /// Tokens that a request counts as which does not tell its tokens.
+  /// Tokens that a request is charged if its number of tokens is not known.
   double PlainTokens = 0;
 
   bool operator==(const WorkspaceLimit &) const = default;
 };
 
-/// A group of callers that show the same keys.
+/// A group of callers that share a set of keys.
 struct Workspace {
   std::string Name;
-  /// Goes before the rank of a route; 0 is the most urgent.
+  /// Takes precedence over the rank of a route; 0 is the most urgent.
   std::optional<std::uint32_t> Priority;
-  /// None if it may send as much as it likes.
+  /// Unset if the workspace is not limited.
   std::optional<WorkspaceLimit> Limit;
 };
 
@@ -43,28 +43,29 @@
   std::vector<std::string> Keys;
 };
 
-/// The workspaces of a plan, found by the keys that callers show. Holds digests
-/// of the keys, not their text.
+/// The workspaces of a plan, indexed by the keys that callers send. Stores
+/// digests of the keys, not their text.
 class WorkspaceDirectory {
 public:
   WorkspaceDirectory() = default;
-  /// A key that two workspaces declare belongs to neither; `Faults` says so.
+  /// A key that two workspaces declare belongs to neither and is reported in
+  /// `Faults`.
   explicit WorkspaceDirectory(std::vector<WorkspaceDeclaration> declared);
 
-  /// Whether callers have to show a key.
+  /// Returns whether callers must send a key.
   bool required() const { return Required; }
-  /// The workspace of a key; nothing if no workspace has it.
+  /// Returns the workspace of a key, or null if no workspace has it.
   const Workspace *find(std::string_view key) const;
-  const std::vector<Workspace> &all() const { return Spaces; }
+  const std::vector<Workspace> &all() const { return Workspaces; }
   std::size_t keys() const { return ByKey.size(); }
 
-  /// What was wrong with the declarations, without any key's text.
+  /// Errors in the declarations, without any key's text.
   std::vector<std::string> Faults;
 
 private:
   bool Required = false;
-  std::vector<Workspace> Spaces;
-  /// Index of the workspace, or `Nobody`.
+  std::vector<Workspace> Workspaces;
+  /// Index of the workspace, or `Ambiguous`.
   std::unordered_map<KeyDigest, std::size_t, KeyDigest::Hash> ByKey;
 };
 
--- a/UnitTests/State/Routing/RoutePlanTest.cpp
+++ b/UnitTests/State/Routing/RoutePlanTest.cpp
@@ -17,31 +17,32 @@
   return out;
 }
 
-std::string found(const RoutePlan &plan, std::string_view host,
-                  std::string_view path) {
+std::string routeName(const RoutePlan &plan, std::string_view host,
+                      std::string_view path) {
   const auto *it = plan.find(host, path);
   return it ? it->Name : "";
 }
 
 } // namespace
 
-TEST_CASE("the longest prefix of the host's routes wins", "[plan]") {
+TEST_CASE("the route with the longest matching prefix of the host is found",
+          "[plan]") {
   RoutePlan plan(
       1,
       {route("root", "a.example", "/"), route("one", "a.example", "/x/"),
        route("two", "a.example", "/x/y/"), route("other", "b.example", "/x/")},
       {}, {});
-  CHECK(found(plan, "a.example", "/x/y/z") == "two");
-  CHECK(found(plan, "a.example", "/x/yy") == "one");
-  CHECK(found(plan, "a.example", "/x") == "root");
-  CHECK(found(plan, "A.Example:8080", "/x/") == "one");
-  CHECK(found(plan, "b.example", "/x/y/z") == "other");
-  CHECK(found(plan, "b.example", "/").empty());
-  CHECK(found(plan, "c.example", "/x/").empty());
-  CHECK(found(plan, "a.example", "").empty());
+  CHECK(routeName(plan, "a.example", "/x/y/z") == "two");
+  CHECK(routeName(plan, "a.example", "/x/yy") == "one");
+  CHECK(routeName(plan, "a.example", "/x") == "root");
+  CHECK(routeName(plan, "A.Example:8080", "/x/") == "one");
+  CHECK(routeName(plan, "b.example", "/x/y/z") == "other");
+  CHECK(routeName(plan, "b.example", "/").empty());
+  CHECK(routeName(plan, "c.example", "/x/").empty());
+  CHECK(routeName(plan, "a.example", "").empty());
 }
 
-TEST_CASE("targets share the requests by weight", "[plan]") {
+TEST_CASE("requests are distributed over targets by weight", "[plan]") {
   auto it = route("r", "a", "/");
   it.Targets = {{"most", 90}, {"few", 10}};
   std::map<std::string, int> n;
@@ -53,7 +54,8 @@
   CHECK(it.targetFor(7) == "only");
 }
 
-TEST_CASE("what may be sent again follows from the route", "[plan]") {
+TEST_CASE("kind and resumability decide whether a route is idempotent",
+          "[plan]") {
   Route it;
   it.Kind = RouteKind::RunOnce;
   CHECK_FALSE(it.idempotent());
@@ -65,7 +67,7 @@
   CHECK(it.idempotent());
 }
 
-TEST_CASE("weights are written as model and adapter", "[plan]") {
+TEST_CASE("weights are written as `model/adapter` or `model`", "[plan]") {
   CHECK(WeightsRef::parse("m/a1") == WeightsRef{"m", "a1"});
   CHECK(WeightsRef::parse("m") == WeightsRef{"m", ""});
   CHECK(WeightsRef{"m", "a1"}.text() == "m/a1");
--- a/UnitTests/State/Routing/WorkspaceTest.cpp
+++ b/UnitTests/State/Routing/WorkspaceTest.cpp
@@ -8,7 +8,8 @@
 
 using Denial = CallerAccess::Denial;
 
-WorkspaceDeclaration space(std::string name, std::vector<std::string> keys) {
+WorkspaceDeclaration workspace(std::string name,
+                               std::vector<std::string> keys) {
   WorkspaceDeclaration out;
   out.Declared.Name = std::move(name);
   out.Keys = std::move(keys);
@@ -35,8 +36,9 @@
 
 } // namespace
 
-TEST_CASE("a key is found, and nothing that is like it", "[workspace]") {
-  WorkspaceDirectory all({space("red", {"k1", "k2"}), space("blue", {"k3"})});
+TEST_CASE("only the exact key is found", "[workspace]") {
+  WorkspaceDirectory all(
+      {workspace("red", {"k1", "k2"}), workspace("blue", {"k3"})});
   CHECK(all.required());
   CHECK(all.keys() == 3);
   REQUIRE(all.find("k2"));
@@ -46,10 +48,11 @@
     CHECK_FALSE(all.find(wrong));
 }
 
-TEST_CASE("a key of two workspaces belongs to neither", "[workspace]") {
-  WorkspaceDirectory all({space("red", {"shared", "own"}),
-                          space("blue", {"shared"}),
-                          space("green", {"twice", "twice"})});
+TEST_CASE("a key that two workspaces declare belongs to neither",
+          "[workspace]") {
+  WorkspaceDirectory all({workspace("red", {"shared", "own"}),
+                          workspace("blue", {"shared"}),
+                          workspace("green", {"twice", "twice"})});
   CHECK_FALSE(all.find("shared"));
   CHECK(all.find("own"));
   CHECK(all.find("twice"));
@@ -58,8 +61,8 @@
   CHECK(all.Faults[0].find("shared key") == std::string::npos);
 }
 
-TEST_CASE("route and workspace of a request are found", "[workspace]") {
-  auto of = plan(WorkspaceDirectory({space("red", {"k1"})}));
+TEST_CASE("the route and the workspace of a request are found", "[workspace]") {
+  auto of = plan(WorkspaceDirectory({workspace("red", {"k1"})}));
   auto good = resolveAccess(of, "a.example", "/x/1", "k1");
   CHECK(good.Denied == Denial::None);
   CHECK(good.MatchedRoute->Name == "/x/");
@@ -69,7 +72,8 @@
         Denial::UnknownKey);
   CHECK(resolveAccess(of, "a.example", "/y/", "k1").Denied == Denial::NoRoute);
   CHECK(resolveAccess(of, "a.example", "/y/", "k").Denied == Denial::NoRoute);
-  // Open to all: also to those whose key is unknown, and counted for nobody.
+  // A public route accepts callers with unknown keys too, and their requests
+  // count for no workspace.
   for (const auto *key : {"", "k", "k1"}) {
     auto open = resolveAccess(of, "a.example", "/open/1", key);
     CHECK(open.Denied == Denial::None);
@@ -77,21 +81,22 @@
   }
 }
 
-TEST_CASE("a plan without workspaces asks for no key", "[workspace]") {
+TEST_CASE("a plan without workspaces requires no key", "[workspace]") {
   auto of = plan({});
   auto found = resolveAccess(of, "a.example", "/x/1", "k1");
   CHECK(found.Denied == Denial::None);
   CHECK_FALSE(found.CallerWorkspace);
-  // An empty list is not the same: nobody has a key.
+  // An empty list of workspaces differs from none: a key is required, and none
+  // is valid.
   auto nobody = plan(WorkspaceDirectory(std::vector<WorkspaceDeclaration>{}));
   CHECK(resolveAccess(nobody, "a.example", "/x/1", "k1").Denied ==
         Denial::UnknownKey);
 }
 
-TEST_CASE("a key is found among 10,000", "[workspace]") {
+TEST_CASE("keys are found among 10,000", "[workspace]") {
   std::vector<WorkspaceDeclaration> declared;
   for (int it = 0; it < 1000; ++it) {
-    declared.push_back(space("w" + std::to_string(it), {}));
+    declared.push_back(workspace("w" + std::to_string(it), {}));
     for (int key = 0; key < 10; ++key)
       declared.back().Keys.push_back("key-" + std::to_string(it) + "-" +
                                      std::to_string(key));
