--- a/Programs/hemlockgladed/Gateway/GatewayExchange.h
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.h
@@ -1,4 +1,4 @@
-#pragma runOnce
+#pragma once
 
 #include "Hemlockglade/Coordination/Route/ExchangeSettings.h"
 #include "Hemlockglade/Coordination/Route/FairQueue.h"
