--- a/Hemlockglade/Coordination/Crash/CrashRowFormat.h
+++ b/Hemlockglade/Coordination/Crash/CrashRowFormat.h
@@ -7,13 +7,15 @@
 
 namespace hemlockglade {
 
-/// Writes records as one word for a row of the table, the last ended first,
-/// `most` of them. Times are told as ages at `now`.
+/// Encodes at most `maxRecords` records, those with the latest crash first, as
+/// one word without spaces for a row of the table. Times are encoded as ages at
+/// `now`, since each process has its own clock.
 std::string encodeCrashRecords(std::span<const CrashRecord> records,
-                               std::size_t most, Instant now);
+                               std::size_t maxRecords, Instant now);
 
-/// Reads it; what is no record is left out. Ages are taken to be those at
-/// `now`, so that a record seems younger than it is by the age of its row.
+/// Decodes what `encodeCrashRecords` wrote and skips malformed records. Ages
+/// are taken to be those at `now`, so a record seems younger than it is by the
+/// age of its row.
 std::vector<CrashRecord> decodeCrashRecords(std::string_view text, Instant now);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Crash/CrashTracker.cpp
+++ b/Hemlockglade/Coordination/Crash/CrashTracker.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// Messages shift a told time by their travel. A time that is later by less
-/// than this is the same one, so that two nodes don't tell it back and forth.
-constexpr Span Travel = std::chrono::seconds(1);
+/// Times in messages are shifted by the time the message takes. A time that is
+/// later by less than this counts as the same, so that two nodes don't send it
+/// back and forth.
+constexpr Span TimeTolerance = std::chrono::seconds(1);
 
 } // namespace
 
@@ -17,122 +18,129 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-std::size_t CrashTracker::counted(const CrashRecord &record) const {
+std::size_t CrashTracker::countCrashes(const CrashRecord &record) const {
   std::vector<const ReplicaCrash *> counted;
   for (const auto &it : record.Crashes) {
-    // A request that was sent again after an end was there for the next one
-    // anew, however soon that came.
-    auto explains = [this, &it](const ReplicaCrash *before) {
+    // A request that was sent again after a replica ended is counted anew for
+    // the next replica that ends, however soon that is.
+    auto isSameFailure = [this, &it](const ReplicaCrash *before) {
       return before->Domain == it.Domain && it.SentAt <= before->EndedAt &&
-             it.EndedAt - before->EndedAt < Setup.SameFailure;
+             it.EndedAt - before->EndedAt < Options.SameFailureWindow;
     };
-    if (std::none_of(counted.begin(), counted.end(), explains))
+    if (std::none_of(counted.begin(), counted.end(), isSameFailure))
       counted.push_back(&it);
   }
   return counted.size();
 }
 
-Instant CrashTracker::lastEnd(const CrashRecord &record) {
+Instant CrashTracker::lastCrashAt(const CrashRecord &record) {
   return record.Crashes.empty() ? Instant{} : record.Crashes.back().EndedAt;
 }
 
-bool CrashTracker::addEnd(CrashRecord &record, const ReplicaCrash &end) const {
-  auto &ends = record.Crashes;
-  bool known = (record.ServedAt && end.EndedAt <= *record.ServedAt) ||
-               std::any_of(ends.begin(), ends.end(), [&end](const auto &it) {
-                 return it.Incarnation == end.Incarnation;
-               });
-  if (known || ends.size() >= Setup.MaxEnds)
+bool CrashTracker::addCrash(CrashRecord &record,
+                            const ReplicaCrash &crash) const {
+  auto &crashes = record.Crashes;
+  bool known =
+      (record.ServedAt && crash.EndedAt <= *record.ServedAt) ||
+      std::any_of(crashes.begin(), crashes.end(), [&crash](const auto &it) {
+        return it.Incarnation == crash.Incarnation;
+      });
+  if (known || crashes.size() >= Options.MaxCrashes)
     return false;
   auto at = std::upper_bound(
-      ends.begin(), ends.end(), end,
+      crashes.begin(), crashes.end(), crash,
       [](const auto &a, const auto &b) { return a.EndedAt < b.EndedAt; });
-  ends.insert(at, end);
+  crashes.insert(at, crash);
   return true;
 }
 
-bool CrashTracker::clear(CrashRecord &record, Instant servedAt) const {
+bool CrashTracker::clearCrashes(CrashRecord &record, Instant servedAt) const {
   auto dropped = std::erase_if(record.Crashes, [servedAt](const auto &it) {
     return it.EndedAt <= servedAt;
   });
-  bool isNews =
-      dropped > 0 || !record.ServedAt || servedAt > *record.ServedAt + Travel;
-  if (isNews)
+  bool changed = dropped > 0 || !record.ServedAt ||
+                 servedAt > *record.ServedAt + TimeTolerance;
+  if (changed)
     record.ServedAt = std::max(servedAt, record.ServedAt.value_or(servedAt));
-  return isNews;
+  return changed;
 }
 
-void CrashTracker::makeRoom() {
-  if (Entries.size() < Setup.MaxKeys)
+void CrashTracker::evictIfFull() {
+  if (Entries.size() < Options.MaxKeys)
     return;
-  // What is barred outlasts what is only suspected.
+  // Suspected requests are evicted before barred ones.
   auto rank = [this](const auto &it) {
-    return std::pair(counted(it.second.Record) >= Setup.CrashLimit,
-                     lastEnd(it.second.Record));
+    return std::pair(countCrashes(it.second.Record) >= Options.CrashLimit,
+                     lastCrashAt(it.second.Record));
   };
   Entries.erase(std::min_element(
       Entries.begin(), Entries.end(),
       [&rank](const auto &a, const auto &b) { return rank(a) < rank(b); }));
 }
 
-CrashTracker::Entry &CrashTracker::entryOf(const RequestKey &key) {
+CrashTracker::Entry &CrashTracker::findOrAddEntry(const RequestKey &key) {
   auto it = Entries.find(key);
   if (it == Entries.end()) {
-    makeRoom();
+    evictIfFull();
     it = Entries.try_emplace(key).first;
     it->second.Record.Key = key;
   }
   return it->second;
 }
 
-bool CrashTracker::onEnd(const RequestKey &key, const ReplicaCrash &end,
+bool CrashTracker::onEnd(const RequestKey &key, const ReplicaCrash &crash,
                          Instant now) {
-  return merge({key, {end}, std::nullopt}, now);
+  return merge({key, {crash}, std::nullopt}, now);
 }
 
 bool CrashTracker::onServed(const RequestKey &key, Instant now) {
   auto it = Entries.find(key);
   if (it == Entries.end() || it->second.Record.Crashes.empty())
     return false;
-  clear(it->second.Record, now);
-  it->second.TriedAt.reset();
-  it->second.Changed = ++Number;
+  clearCrashes(it->second.Record, now);
+  it->second.LastTrialAt.reset();
+  it->second.ChangedInRevision = ++Revision;
   return true;
 }
 
-bool CrashTracker::merge(const CrashRecord &told, Instant now) {
-  auto fresh = [this, now](const ReplicaCrash &it) {
-    return now - it.EndedAt < Setup.ForgetAfter;
+bool CrashTracker::merge(const CrashRecord &received, Instant now) {
+  auto isRecent = [this, now](const ReplicaCrash &it) {
+    return now - it.EndedAt < Options.BarredRetention;
   };
-  bool any = std::any_of(told.Crashes.begin(), told.Crashes.end(), fresh);
-  if (!any && !Entries.contains(told.Key))
+  bool hasRecent =
+      std::any_of(received.Crashes.begin(), received.Crashes.end(), isRecent);
+  if (!hasRecent && !Entries.contains(received.Key))
     return false;
-  auto &entry = entryOf(told.Key);
-  bool isNews = told.ServedAt && clear(entry.Record, *told.ServedAt);
-  for (const auto &it : told.Crashes)
-    if (fresh(it) && addEnd(entry.Record, it))
-      isNews = true;
-  if (isNews)
-    entry.Changed = ++Number;
-  return isNews;
+  auto &entry = findOrAddEntry(received.Key);
+  bool changed =
+      received.ServedAt && clearCrashes(entry.Record, *received.ServedAt);
+  for (const auto &it : received.Crashes)
+    if (isRecent(it) && addCrash(entry.Record, it))
+      changed = true;
+  if (changed)
+    entry.ChangedInRevision = ++Revision;
+  return changed;
 }
 
-void CrashTracker::setTrialSlot(std::size_t turn, std::size_t nodes) {
-  Turn = turn;
-  Nodes = std::max<std::size_t>(1, nodes);
+void CrashTracker::setTrialSlot(std::size_t slot, std::size_t nodes) {
+  TrialSlot = slot;
+  NodeCount = std::max<std::size_t>(1, nodes);
 }
 
 std::optional<Span> CrashTracker::barredFor(const RequestKey &key,
                                             Instant now) const {
   auto it = Entries.find(key);
-  if (it == Entries.end() || counted(it->second.Record) < Setup.CrashLimit)
+  if (it == Entries.end() ||
+      countCrashes(it->second.Record) < Options.CrashLimit)
     return std::nullopt;
-  auto turns = static_cast<std::int64_t>((key.spread() + Turn) % Nodes);
-  auto trialAt = lastEnd(it->second.Record) + Setup.TrialAfter * (1 + turns);
-  if (it->second.TriedAt)
-    trialAt = std::max(trialAt,
-                       *it->second.TriedAt +
-                           Setup.TrialAfter * static_cast<std::int64_t>(Nodes));
+  auto slots =
+      static_cast<std::int64_t>((key.spread() + TrialSlot) % NodeCount);
+  auto trialAt =
+      lastCrashAt(it->second.Record) + Options.TrialAfter * (1 + slots);
+  if (it->second.LastTrialAt)
+    trialAt = std::max(trialAt, *it->second.LastTrialAt +
+                                    Options.TrialAfter *
+                                        static_cast<std::int64_t>(NodeCount));
   if (now >= trialAt)
     return std::nullopt;
   return trialAt - now;
@@ -140,13 +148,14 @@
 
 void CrashTracker::onSent(const RequestKey &key, Instant now) {
   auto it = Entries.find(key);
-  if (it != Entries.end() && counted(it->second.Record) >= Setup.CrashLimit)
-    it->second.TriedAt = now;
+  if (it != Entries.end() &&
+      countCrashes(it->second.Record) >= Options.CrashLimit)
+    it->second.LastTrialAt = now;
 }
 
 std::size_t CrashTracker::crashesOf(const RequestKey &key) const {
   auto it = Entries.find(key);
-  return it == Entries.end() ? 0 : counted(it->second.Record);
+  return it == Entries.end() ? 0 : countCrashes(it->second.Record);
 }
 
 std::size_t CrashTracker::suspects() const {
@@ -159,14 +168,14 @@
 std::size_t CrashTracker::barred() const {
   return static_cast<std::size_t>(
       std::count_if(Entries.begin(), Entries.end(), [this](const auto &it) {
-        return counted(it.second.Record) >= Setup.CrashLimit;
+        return countCrashes(it.second.Record) >= Options.CrashLimit;
       }));
 }
 
-std::vector<CrashRecord> CrashTracker::since(std::uint64_t number) const {
+std::vector<CrashRecord> CrashTracker::since(std::uint64_t after) const {
   std::vector<CrashRecord> out;
   for (const auto &[key, it] : Entries)
-    if (it.Changed > number)
+    if (it.ChangedInRevision > after)
       out.push_back(it.Record);
   return out;
 }
@@ -174,9 +183,11 @@
 void CrashTracker::removeExpired(Instant now) {
   std::erase_if(Entries, [this, now](const auto &it) {
     const auto &record = it.second.Record;
-    bool barred = counted(record) >= Setup.CrashLimit;
-    auto last = std::max(lastEnd(record), record.ServedAt.value_or(Instant{}));
-    return now - last >= (barred ? Setup.ForgetAfter : Setup.SuspectFor);
+    bool isBarred = countCrashes(record) >= Options.CrashLimit;
+    auto last =
+        std::max(lastCrashAt(record), record.ServedAt.value_or(Instant{}));
+    return now - last >=
+           (isBarred ? Options.BarredRetention : Options.SuspectRetention);
   });
 }
 
--- a/Hemlockglade/Coordination/Crash/CrashTracker.h
+++ b/Hemlockglade/Coordination/Crash/CrashTracker.h
@@ -8,9 +8,9 @@
 
 namespace hemlockglade {
 
-/// A replica ended while it ran a request, or was about to.
+/// The end of a replica that ran a request or was about to run it.
 struct ReplicaCrash {
-  /// Tag of the replica's life.
+  /// Tag of the replica's incarnation.
   std::uint64_t Incarnation = 0;
   Instant SentAt{};
   Instant EndedAt{};
@@ -20,93 +20,103 @@
   bool operator==(const ReplicaCrash &) const = default;
 };
 
-/// What is known of a request that is suspected of crashing replicas.
+/// The crashes and the last success of a request that is suspected of crashing
+/// replicas.
 struct CrashRecord {
   RequestKey Key;
   std::vector<ReplicaCrash> Crashes;
-  /// When it was last seen to run to its end. Ends before that were not its
-  /// fault: a request that crashes replicas crashes each one.
+  /// When the request last completed. Crashes before that were not its fault: a
+  /// request that crashes replicas crashes every one.
   std::optional<Instant> ServedAt;
 };
 
-/// A replica's life or a failure domain as books and messages name it.
+/// Hash that stands for a replica's incarnation or a failure domain in records
+/// and messages.
 std::uint64_t crashTag(std::string_view text);
 
-/// Which requests crash the replicas that run them, from what all nodes saw.
-/// A request under which `CrashLimit` replicas ended is barred: it is sent to
-/// no other. Nodes exchange records, in any order and repeatedly, and come to
-/// the same verdict. No clock, no sockets.
+/// Finds the requests that crash the replicas that run them, from the crashes
+/// that all nodes report. A request under which `CrashLimit` replicas ended is
+/// barred: it is sent to no other replica. Nodes exchange records, in any order
+/// and repeatedly, and converge on the same result. Deterministic: time is
+/// passed in, and it does no I/O.
 class CrashTracker {
 public:
   struct Settings {
-    /// Ends after which a request is barred.
+    /// Crashes after which a request is barred.
     std::size_t CrashLimit = 3;
     /// Replicas of one failure domain that end within this time are taken to
-    /// have ended together, for one reason; that counts as one end of a request
-    /// that was sent to several of them before.
-    Span SameFailure = std::chrono::milliseconds(100);
-    /// How long ends below the limit are remembered.
-    Span SuspectFor = std::chrono::minutes(10);
-    /// Time after the last end until a barred request is tried once more, as
-    /// what runs on the replicas may have been mended.
+    /// have ended for one common reason. That counts as one crash of a request
+    /// that had been sent to several of them before.
+    Span SameFailureWindow = std::chrono::milliseconds(100);
+    /// How long after its last crash or success a request below the limit is
+    /// kept.
+    Span SuspectRetention = std::chrono::minutes(10);
+    /// Time after the last crash until a barred request is sent once as a
+    /// trial, as the software on the replicas may have been fixed.
     Span TrialAfter = std::chrono::minutes(10);
-    /// Time after which a barred request that did not come again is forgotten.
-    Span ForgetAfter = std::chrono::hours(24);
+    /// How long after its last crash or success a barred request is kept. Older
+    /// crashes are ignored when they are received.
+    Span BarredRetention = std::chrono::hours(24);
+    /// Requests in the table.
     std::size_t MaxKeys = 512;
-    std::size_t MaxEnds = 8;
+    /// Crashes kept for each request.
+    std::size_t MaxCrashes = 8;
   };
 
   CrashTracker() : CrashTracker(Settings{}) {}
-  explicit CrashTracker(Settings settings) : Setup(settings) {}
+  explicit CrashTracker(Settings settings) : Options(settings) {}
 
-  /// A replica ended under the request. Whether that was news.
-  bool onEnd(const RequestKey &key, const ReplicaCrash &end, Instant now);
-  /// The request ran to its end. Whether anything was known against it.
+  /// Called when a replica ended under the request. Returns whether the record
+  /// changed.
+  bool onEnd(const RequestKey &key, const ReplicaCrash &crash, Instant now);
+  /// Called when the request completed. Returns whether it had any crashes.
   bool onServed(const RequestKey &key, Instant now);
-  /// Another node, or a row that outlived all nodes, tells. Whether that was
-  /// news.
-  bool merge(const CrashRecord &told, Instant now);
+  /// Merges a record received from another node or read from the table. Returns
+  /// whether the own record changed.
+  bool merge(const CrashRecord &received, Instant now);
 
-  /// For how long the request must not be sent, if it is barred.
+  /// Time until the request may be sent as a trial, if it is barred.
   std::optional<Span> barredFor(const RequestKey &key, Instant now) const;
-  /// The request is sent, which is its trial if it was barred.
+  /// Called when the request is sent, which is its trial if it was barred.
   void onSent(const RequestKey &key, Instant now);
-  /// Nodes take turns with trials: this one's turn of so many.
-  void setTrialSlot(std::size_t turn, std::size_t nodes);
+  /// Sets the trial slot of this node among `nodes` slots. Nodes run trials of
+  /// barred requests one after the other.
+  void setTrialSlot(std::size_t slot, std::size_t nodes);
 
-  /// Ends that count against the request.
+  /// Crashes that count against the request.
   std::size_t crashesOf(const RequestKey &key) const;
-  /// Requests that are suspected or barred, and those that are barred.
+  /// Numbers of requests that are suspected or barred, and of those that are
+  /// barred.
   std::size_t suspects() const;
   std::size_t barred() const;
 
-  /// Rises with each change.
-  std::uint64_t revision() const { return Number; }
-  /// Records that have changed since a number; since 0, all.
-  std::vector<CrashRecord> since(std::uint64_t number) const;
-  /// Forgets what is past its time.
+  /// Increases with each change.
+  std::uint64_t revision() const { return Revision; }
+  /// Returns the records that changed after a revision; after 0, all.
+  std::vector<CrashRecord> since(std::uint64_t after) const;
+  /// Removes records that are past their retention time.
   void removeExpired(Instant now);
 
 private:
   struct Entry {
     CrashRecord Record;
-    /// When a barred request was last tried by this node.
-    std::optional<Instant> TriedAt;
-    std::uint64_t Changed = 0;
+    /// When this node last sent the barred request as a trial.
+    std::optional<Instant> LastTrialAt;
+    std::uint64_t ChangedInRevision = 0;
   };
 
-  std::size_t counted(const CrashRecord &record) const;
-  static Instant lastEnd(const CrashRecord &record);
-  bool addEnd(CrashRecord &record, const ReplicaCrash &end) const;
-  bool clear(CrashRecord &record, Instant servedAt) const;
-  Entry &entryOf(const RequestKey &key);
-  void makeRoom();
+  std::size_t countCrashes(const CrashRecord &record) const;
+  static Instant lastCrashAt(const CrashRecord &record);
+  bool addCrash(CrashRecord &record, const ReplicaCrash &crash) const;
+  bool clearCrashes(CrashRecord &record, Instant servedAt) const;
+  Entry &findOrAddEntry(const RequestKey &key);
+  void evictIfFull();
 
-  Settings Setup;
+  Settings Options;
   std::map<RequestKey, Entry> Entries;
-  std::uint64_t Number = 0;
-  std::size_t Turn = 0;
-  std::size_t Nodes = 1;
+  std::uint64_t Revision = 0;
+  std::size_t TrialSlot = 0;
+  std::size_t NodeCount = 1;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Crash/ReplicaEndDetector.cpp
+++ b/Hemlockglade/Coordination/Crash/ReplicaEndDetector.cpp
@@ -4,7 +4,7 @@
 
 namespace hemlockglade {
 
-SuspectCrash ReplicaEndDetector::endOf(const BrokenAttempt &attempt) {
+SuspectCrash ReplicaEndDetector::crashOf(const BrokenAttempt &attempt) {
   return {attempt.Key,
           {crashTag(attempt.Incarnation.text()), attempt.SentAt,
            attempt.BrokeAt, crashTag(attempt.FailureDomain)}};
@@ -13,65 +13,67 @@
 std::vector<SuspectCrash>
 ReplicaEndDetector::onBroken(const BrokenAttempt &attempt) {
   if (attempt.AnswerBeganAt &&
-      attempt.BrokeAt - *attempt.AnswerBeganAt > Setup.Recent)
+      attempt.BrokeAt - *attempt.AnswerBeganAt > Options.SuspectWindow)
     return {};
   if (Ended.contains(attempt.Incarnation.text()))
-    return {endOf(attempt)};
-  if (Broken < Setup.MaxBroken) {
-    Doubts[attempt.Incarnation.text()].Attempts.push_back(attempt);
-    ++Broken;
+    return {crashOf(attempt)};
+  if (BrokenCount < Options.MaxBroken) {
+    Suspicions[attempt.Incarnation.text()].Attempts.push_back(attempt);
+    ++BrokenCount;
   }
   return {};
 }
 
-bool ReplicaEndDetector::needsProbe(const ReplicaIncarnation &life) {
-  auto it = Doubts.find(life.text());
-  return it != Doubts.end() && !std::exchange(it->second.Looking, true);
+bool ReplicaEndDetector::needsProbe(const ReplicaIncarnation &incarnation) {
+  auto it = Suspicions.find(incarnation.text());
+  return it != Suspicions.end() &&
+         !std::exchange(it->second.ProbePending, true);
 }
 
 std::vector<SuspectCrash>
-ReplicaEndDetector::onEnded(const ReplicaIncarnation &life, Instant now) {
-  Ended.try_emplace(life.text(), now);
+ReplicaEndDetector::onEnded(const ReplicaIncarnation &incarnation,
+                            Instant now) {
+  Ended.try_emplace(incarnation.text(), now);
   std::vector<SuspectCrash> out;
-  auto it = Doubts.find(life.text());
-  if (it == Doubts.end())
+  auto it = Suspicions.find(incarnation.text());
+  if (it == Suspicions.end())
     return out;
   for (const auto &attempt : it->second.Attempts)
-    out.push_back(endOf(attempt));
-  Broken -= out.size();
-  Doubts.erase(it);
+    out.push_back(crashOf(attempt));
+  BrokenCount -= out.size();
+  Suspicions.erase(it);
   return out;
 }
 
 std::vector<SuspectCrash> ReplicaEndDetector::onRemoved(const std::string &id,
                                                         Instant now) {
-  std::vector<ReplicaIncarnation> lives;
-  for (const auto &[text, doubt] : Doubts)
-    if (!doubt.Attempts.empty() &&
-        doubt.Attempts.front().Incarnation.id() == id)
-      lives.push_back(doubt.Attempts.front().Incarnation);
+  std::vector<ReplicaIncarnation> incarnations;
+  for (const auto &[key, suspicion] : Suspicions)
+    if (!suspicion.Attempts.empty() &&
+        suspicion.Attempts.front().Incarnation.id() == id)
+      incarnations.push_back(suspicion.Attempts.front().Incarnation);
   std::vector<SuspectCrash> out;
-  for (const auto &it : lives)
-    for (auto &end : onEnded(it, now))
-      out.push_back(end);
+  for (const auto &it : incarnations)
+    for (auto &crash : onEnded(it, now))
+      out.push_back(crash);
   return out;
 }
 
-void ReplicaEndDetector::onListening(const ReplicaIncarnation &life) {
-  if (auto it = Doubts.find(life.text()); it != Doubts.end())
-    it->second.Looking = false;
+void ReplicaEndDetector::onListening(const ReplicaIncarnation &incarnation) {
+  if (auto it = Suspicions.find(incarnation.text()); it != Suspicions.end())
+    it->second.ProbePending = false;
 }
 
 void ReplicaEndDetector::removeExpired(Instant now) {
-  for (auto it = Doubts.begin(); it != Doubts.end();) {
+  for (auto it = Suspicions.begin(); it != Suspicions.end();) {
     auto &attempts = it->second.Attempts;
-    Broken -= std::erase_if(attempts, [this, now](const auto &attempt) {
-      return now - attempt.BrokeAt >= Setup.Patience;
+    BrokenCount -= std::erase_if(attempts, [this, now](const auto &attempt) {
+      return now - attempt.BrokeAt >= Options.SuspicionTimeout;
     });
-    it = attempts.empty() ? Doubts.erase(it) : std::next(it);
+    it = attempts.empty() ? Suspicions.erase(it) : std::next(it);
   }
   std::erase_if(Ended, [this, now](const auto &it) {
-    return now - it.second >= Setup.Patience;
+    return now - it.second >= Options.SuspicionTimeout;
   });
 }
 
--- a/Hemlockglade/Coordination/Crash/ReplicaEndDetector.h
+++ b/Hemlockglade/Coordination/Crash/ReplicaEndDetector.h
@@ -5,70 +5,78 @@
 
 namespace hemlockglade {
 
-/// An attempt that ended without an answer: it broke off, or its node gave it
-/// up while the replica may run it on.
+/// An attempt that ended without an answer: its connection broke, or the node
+/// abandoned it while the replica may still run it.
 struct BrokenAttempt {
   RequestKey Key;
   ReplicaIncarnation Incarnation;
   std::string FailureDomain;
   Instant SentAt{};
-  /// When the first part of the answer came, if any did.
+  /// When the first part of the answer arrived, if any did.
   std::optional<Instant> AnswerBeganAt;
   Instant BrokeAt{};
 };
 
-/// A replica's end and a request that may have caused it.
+/// The end of a replica and a request that may have caused it.
 struct SuspectCrash {
   RequestKey Key;
   ReplicaCrash Crash;
 };
 
-/// Tells replicas that ended from connections that broke for other reasons,
-/// and which of the requests there may be to blame. No clock, no sockets.
+/// Distinguishes replicas that ended from connections that broke for other
+/// reasons, and returns the requests that may have caused the end.
+/// Deterministic: time is passed in, and it does no I/O.
 class ReplicaEndDetector {
 public:
   struct Settings {
-    /// A request that had begun longer ago than this is not to blame: one that
-    /// crashes a replica does so as it begins to run.
-    Span Recent = std::chrono::milliseconds(1000);
-    /// How long a broken attempt waits for news of its replica. An entry lapses
-    /// after three heartbeats.
-    Span Patience = std::chrono::seconds(10);
+    /// A request whose answer had begun longer ago than this is no suspect: one
+    /// that crashes a replica does so as it begins to run.
+    Span SuspectWindow = std::chrono::milliseconds(1000);
+    /// How long a broken attempt is kept until the end of its replica is known.
+    /// Must cover the time until a registry entry expires, which is three
+    /// missed heartbeats.
+    Span SuspicionTimeout = std::chrono::seconds(10);
+    /// Broken attempts that are kept.
     std::size_t MaxBroken = 1024;
   };
 
   ReplicaEndDetector() : ReplicaEndDetector(Settings{}) {}
-  explicit ReplicaEndDetector(Settings settings) : Setup(settings) {}
+  explicit ReplicaEndDetector(Settings settings) : Options(settings) {}
 
-  /// An attempt broke. Gives what is certain already.
+  /// Called when an attempt broke. Returns its crash if the replica is already
+  /// known to have ended.
   std::vector<SuspectCrash> onBroken(const BrokenAttempt &attempt);
-  /// Whether to look if something listens at the replica's address; asked once
-  /// for each look.
-  bool needsProbe(const ReplicaIncarnation &life);
-  /// The replica has ended.
-  std::vector<SuspectCrash> onEnded(const ReplicaIncarnation &life,
+  /// Returns true if attempts broke at the replica and no probe of its address
+  /// is pending; the caller must then probe it for a listener.
+  bool needsProbe(const ReplicaIncarnation &incarnation);
+  /// Called when the replica has ended. Returns the crashes of the broken
+  /// attempts there.
+  std::vector<SuspectCrash> onEnded(const ReplicaIncarnation &incarnation,
                                     Instant now);
-  /// The registry has the replica no more, whichever of its lives that was.
+  /// Called when the replica was removed from the registry; that ends all of
+  /// its incarnations.
   std::vector<SuspectCrash> onRemoved(const std::string &id, Instant now);
-  /// Something listens at its address. That may be another process, or the
-  /// replica may yet end, so the attempts are kept.
-  void onListening(const ReplicaIncarnation &life);
+  /// Called when the probe found a listener at the replica's address. That may
+  /// be another process, or the replica may still end, so the attempts are
+  /// kept.
+  void onListening(const ReplicaIncarnation &incarnation);
+  /// Removes attempts and ended incarnations that are past `SuspicionTimeout`.
   void removeExpired(Instant now);
 
 private:
-  struct Doubt {
+  struct Suspicion {
     std::vector<BrokenAttempt> Attempts;
-    bool Looking = false;
+    bool ProbePending = false;
   };
 
-  static SuspectCrash endOf(const BrokenAttempt &attempt);
+  static SuspectCrash crashOf(const BrokenAttempt &attempt);
 
-  Settings Setup;
-  /// Attempts that broke at replicas of which it is not known whether they
-  /// live, by life.
-  std::map<std::string, Doubt> Doubts;
-  std::size_t Broken = 0;
-  /// Lives that have ended lately.
+  Settings Options;
+  /// Broken attempts at replicas that are not known to have ended, by
+  /// incarnation.
+  std::map<std::string, Suspicion> Suspicions;
+  std::size_t BrokenCount = 0;
+  /// Incarnations that have ended recently, and when.
   std::map<std::string, Instant> Ended;
 };
 
