--- a/Hemlockglade/Coordination/Quota/QuotaClient.cpp
+++ b/Hemlockglade/Coordination/Quota/QuotaClient.cpp
@@ -8,108 +8,112 @@
 
 namespace {
 
-/// A workspace that nobody asked for is forgotten after this.
-constexpr Span ForgetAfter = std::chrono::seconds(30);
-/// Share of what is asked for ahead below which more is asked for.
+/// State of a workspace without requests for this long is removed.
+constexpr Span IdleTimeout = std::chrono::seconds(30);
+/// Share of the wanted units ahead below which more units are requested.
 constexpr double RefillShare = 0.5;
-/// Usual requests that are worth asking for ahead.
-constexpr double LeastAhead = 2;
+/// Units ahead are requested only if they cover this many mean requests.
+constexpr double MinAheadRequests = 2;
 
 } // namespace
 
 void QuotaClient::setCells(std::vector<std::string> cells,
                            const std::string &own) {
   Cells = std::move(cells);
-  Own = own;
+  OwnCell = own;
 }
 
-void QuotaClient::openPurses(const std::string &name, Book &book) const {
-  auto keepers = quotaServersOf(name, book.Limit, Cells, Quota);
-  if (keepers.empty())
+void QuotaClient::selectServers(const std::string &name,
+                                WorkspaceState &state) const {
+  auto servers = quotaServersOf(name, state.Limit, Cells, Quota);
+  if (servers.empty())
     return;
-  // The own cell's owner is near; behind it entries of different cells begin
-  // with different keepers.
-  auto own = std::find(keepers.begin(), keepers.end(), Own);
-  if (own == keepers.end())
-    own = keepers.begin() + static_cast<std::ptrdiff_t>(
-                                std::hash<std::string>{}(Own) % keepers.size());
-  std::rotate(keepers.begin(), own, keepers.end());
-  std::vector<Purse> purses;
-  for (const auto &cell : keepers) {
-    auto kept =
-        std::find_if(book.Purses.begin(), book.Purses.end(),
+  // The own cell's owner is near, so it comes first. If it is no quota server
+  // here, entries of different cells start with different servers.
+  auto own = std::find(servers.begin(), servers.end(), OwnCell);
+  if (own == servers.end())
+    own = servers.begin() +
+          static_cast<std::ptrdiff_t>(std::hash<std::string>{}(OwnCell) %
+                                      servers.size());
+  std::rotate(servers.begin(), own, servers.end());
+  std::vector<ServerState> selected;
+  for (const auto &cell : servers) {
+    auto existing =
+        std::find_if(state.Servers.begin(), state.Servers.end(),
                      [&cell](const auto &it) { return it.Cell == cell; });
-    purses.push_back(kept == book.Purses.end() ? Purse{} : std::move(*kept));
-    purses.back().Cell = cell;
+    selected.push_back(existing == state.Servers.end() ? ServerState{}
+                                                       : std::move(*existing));
+    selected.back().Cell = cell;
   }
-  book.Purses = std::move(purses);
+  state.Servers = std::move(selected);
 }
 
-QuotaClient::Book &QuotaClient::bookOf(const Workspace &workspace,
-                                       Instant now) {
-  auto [it, isNew] = Books.try_emplace(workspace.Name);
-  auto &book = it->second;
-  book.Name = workspace.Name;
-  book.UsedAt = now;
-  if (!isNew && book.Limit == *workspace.Limit)
-    return book;
-  // Requests that wait at a keeper that is none any more are asked for there
-  // still: nobody answers, and they move on.
-  bool waits = std::any_of(
-      book.Purses.begin(), book.Purses.end(), [](const auto &purse) {
-        return !purse.Waits.empty() || !purse.Asked.empty();
+QuotaClient::WorkspaceState &QuotaClient::stateOf(const Workspace &workspace,
+                                                  Instant now) {
+  auto [it, isNew] = Workspaces.try_emplace(workspace.Name);
+  auto &state = it->second;
+  state.Name = workspace.Name;
+  state.UsedAt = now;
+  if (!isNew && state.Limit == *workspace.Limit)
+    return state;
+  // Servers stay as long as requests wait for one. If one of them is no quota
+  // server any more, it does not answer and the requests fail over.
+  bool waiting = std::any_of(
+      state.Servers.begin(), state.Servers.end(), [](const auto &server) {
+        return !server.Queue.empty() || !server.InFlight.empty();
       });
-  if (waits)
-    return book;
-  book.Limit = *workspace.Limit;
-  openPurses(workspace.Name, book);
-  return book;
+  if (waiting)
+    return state;
+  state.Limit = *workspace.Limit;
+  selectServers(workspace.Name, state);
+  return state;
 }
 
-double QuotaClient::demandOf(const Book &book, Instant now) const {
-  return book.Demand * std::exp(-inSeconds(now - book.DemandAt) /
-                                inSeconds(Setup.DemandOver));
+double QuotaClient::demandOf(const WorkspaceState &state, Instant now) const {
+  return state.Demand * std::exp(-inSeconds(now - state.DemandAt) /
+                                 inSeconds(Options.DemandWindow));
 }
 
-void QuotaClient::noteDemand(Book &book, double units, Instant now) const {
-  book.Demand = demandOf(book, now) + units / inSeconds(Setup.DemandOver);
-  book.DemandAt = now;
+void QuotaClient::updateDemand(WorkspaceState &state, double units,
+                               Instant now) const {
+  state.Demand = demandOf(state, now) + units / inSeconds(Options.DemandWindow);
+  state.DemandAt = now;
   constexpr double Weight = 0.1;
-  book.UsualUnits +=
-      (book.UsualUnits > 0 ? Weight : 1) * (units - book.UsualUnits);
+  state.MeanUnits +=
+      (state.MeanUnits > 0 ? Weight : 1) * (units - state.MeanUnits);
 }
 
-void QuotaClient::markDue(Book &book) {
-  if (!std::exchange(book.Due, true))
-    DueBooks.push_back(&book);
+void QuotaClient::markDue(WorkspaceState &state) {
+  if (!std::exchange(state.Due, true))
+    DueWorkspaces.push_back(&state);
 }
 
-double QuotaClient::Purse::granted() const {
+double QuotaClient::ServerState::granted() const {
   double out = 0;
   for (const auto &it : Grants)
     out += it.Units;
   return out;
 }
 
-void QuotaClient::lapse(Purse &purse, Instant now) {
-  std::erase_if(purse.Grants, [&purse, now](const auto &it) {
+void QuotaClient::dropExpiredGrants(ServerState &server, Instant now) {
+  std::erase_if(server.Grants, [&server, now](const auto &it) {
     bool over = now >= it.Until;
-    purse.Unused += over ? it.Units : 0;
+    server.Unused += over ? it.Units : 0;
     return over;
   });
 }
 
-bool QuotaClient::useGranted(Book &book, double units, Instant now) {
-  for (auto &purse : book.Purses) {
-    lapse(purse, now);
-    if (purse.granted() < units)
+bool QuotaClient::useGranted(WorkspaceState &state, double units, Instant now) {
+  for (auto &server : state.Servers) {
+    dropExpiredGrants(server, now);
+    if (server.granted() < units)
       continue;
-    for (auto &it : purse.Grants) {
+    for (auto &it : server.Grants) {
       auto used = std::min(units, it.Units);
       it.Units -= used;
       units -= used;
     }
-    std::erase_if(purse.Grants, [](const auto &it) { return it.Units <= 0; });
+    std::erase_if(server.Grants, [](const auto &it) { return it.Units <= 0; });
     return true;
   }
   return false;
@@ -118,114 +122,117 @@
 std::optional<QuotaClient::Decision>
 QuotaClient::reserve(Ticket number, const Workspace &workspace, double units,
                      Instant now) {
-  auto &book = bookOf(workspace, now);
-  noteDemand(book, units, now);
-  if (!useGranted(book, units, now))
-    return place(book, 0, {number, units}, now);
-  markDue(book);
+  auto &state = stateOf(workspace, now);
+  updateDemand(state, units, now);
+  if (!useGranted(state, units, now))
+    return queueAtServer(state, 0, {number, units}, now);
+  markDue(state);
   return Decision{number, Verdict::Allowed, Span(0)};
 }
 
 std::optional<QuotaClient::Decision>
-QuotaClient::place(Book &book, std::size_t first, Waiting it, Instant now) {
-  for (auto at = first; at < book.Purses.size(); ++at) {
-    auto &purse = book.Purses[at];
-    if (now < purse.EmptyUntil || now < purse.SilentUntil)
+QuotaClient::queueAtServer(WorkspaceState &state, std::size_t first,
+                           WaitingRequest it, Instant now) {
+  for (auto at = first; at < state.Servers.size(); ++at) {
+    auto &server = state.Servers[at];
+    if (now < server.EmptyUntil || now < server.BackoffUntil)
       continue;
-    purse.Waits.push_back(it);
-    markDue(book);
+    server.Queue.push_back(it);
+    markDue(state);
     return std::nullopt;
   }
-  return refuse(book, it, now);
+  return refuse(state, it, now);
 }
 
-QuotaClient::Decision QuotaClient::refuse(Book &book, const Waiting &it,
+QuotaClient::Decision QuotaClient::refuse(WorkspaceState &state,
+                                          const WaitingRequest &it,
                                           Instant now) const {
   auto emptyUntil = Instant::max();
-  for (const auto &purse : book.Purses)
-    if (now < purse.EmptyUntil)
-      emptyUntil = std::min(emptyUntil, purse.EmptyUntil);
+  for (const auto &server : state.Servers)
+    if (now < server.EmptyUntil)
+      emptyUntil = std::min(emptyUntil, server.EmptyUntil);
   if (emptyUntil == Instant::max())
-    return {it.Number, Verdict::NoServer, Setup.Silence};
-  // Those who are refused together are told to come back one after the other,
-  // as this entry's part of the limit lets them pass.
-  auto perSecond = book.Limit.PerSecond / static_cast<double>(Entries);
-  book.PromisedUntil = std::max({book.PromisedUntil, emptyUntil, now}) +
+    return {it.Number, Verdict::NoServer, Options.ServerBackoff};
+  // Callers that are refused together get retry times one after the other, as
+  // this entry's share of the limit admits them.
+  auto perSecond = state.Limit.PerSecond / static_cast<double>(EntryCount);
+  state.RetriesUntil = std::max({state.RetriesUntil, emptyUntil, now}) +
                        spanOf(it.Units / perSecond);
-  if (book.PromisedUntil > now + Setup.LongestRetry)
-    book.PromisedUntil = now + Setup.LongestRetry / 2;
-  return {it.Number, Verdict::Limited, book.PromisedUntil - now};
+  if (state.RetriesUntil > now + Options.MaxRetryAfter)
+    state.RetriesUntil = now + Options.MaxRetryAfter / 2;
+  return {it.Number, Verdict::Limited, state.RetriesUntil - now};
 }
 
 void QuotaClient::charge(const Workspace &workspace, double units,
                          Instant now) {
-  auto &book = bookOf(workspace, now);
-  if (!useGranted(book, units, now) && !book.Purses.empty())
-    book.Purses.front().Spent += units;
+  auto &state = stateOf(workspace, now);
+  if (!useGranted(state, units, now) && !state.Servers.empty())
+    state.Servers.front().Charged += units;
 }
 
 void QuotaClient::release(const Workspace &workspace, double units,
                           Instant now) {
-  auto &book = bookOf(workspace, now);
-  if (book.Purses.empty())
+  auto &state = stateOf(workspace, now);
+  if (state.Servers.empty())
     return;
-  auto &purse = book.Purses.front();
-  // What was used without a grant is settled first.
-  auto settled = std::min(units, purse.Spent);
-  purse.Spent -= settled;
-  purse.Unused += units - settled;
+  auto &server = state.Servers.front();
+  // Units that were used without a grant are settled first.
+  auto settled = std::min(units, server.Charged);
+  server.Charged -= settled;
+  server.Unused += units - settled;
 }
 
-double QuotaClient::aheadOf(const Book &book, const Purse &purse,
-                            Instant now) const {
-  bool nearest = &purse == &book.Purses.front();
-  if (!nearest || now < purse.EmptyUntil || now < purse.AheadAfter)
+double QuotaClient::unitsAhead(const WorkspaceState &state,
+                               const ServerState &server, Instant now) const {
+  bool nearest = &server == &state.Servers.front();
+  if (!nearest || now < server.EmptyUntil || now < server.NoAheadUntil)
     return 0;
-  auto wanted = demandOf(book, now) * inSeconds(Setup.AheadFor);
-  // Less serves no whole request before it lapses.
-  if (wanted < LeastAhead * book.UsualUnits)
+  auto wanted = demandOf(state, now) * inSeconds(Options.AheadFor);
+  // Less would not serve a whole request before the grant expires.
+  if (wanted < MinAheadRequests * state.MeanUnits)
     return 0;
-  auto granted = purse.granted();
+  auto granted = server.granted();
   return granted < RefillShare * wanted ? wanted - granted : 0;
 }
 
-void QuotaClient::addAsks(Book &book, std::map<std::string, Message> &messages,
-                          Instant now) {
-  for (auto &purse : book.Purses) {
-    if (purse.Asking || now < purse.SilentUntil)
+void QuotaClient::addRequests(WorkspaceState &state,
+                              std::map<std::string, Message> &messages,
+                              Instant now) {
+  for (auto &server : state.Servers) {
+    if (server.RequestPending || now < server.BackoffUntil)
       continue;
-    lapse(purse, now);
-    auto ahead = aheadOf(book, purse, now);
-    if (purse.Waits.empty() && ahead <= 0 && purse.Unused <= 0 &&
-        purse.Spent <= 0)
+    dropExpiredGrants(server, now);
+    auto ahead = unitsAhead(state, server, now);
+    if (server.Queue.empty() && ahead <= 0 && server.Unused <= 0 &&
+        server.Charged <= 0)
       continue;
-    auto &message = messages[purse.Cell];
-    message.Cell = purse.Cell;
+    auto &message = messages[server.Cell];
+    message.Cell = server.Cell;
     if (!message.Number)
-      message.Number = ++LastAsk;
-    QuotaRequest ask{book.Name,
-                     {},
-                     ahead,
-                     std::exchange(purse.Unused, 0),
-                     std::exchange(purse.Spent, 0)};
-    purse.Asked.clear();
-    for (const auto &it : std::exchange(purse.Waits, {})) {
-      ask.Requested.push_back(it.Units);
-      purse.Asked.push_back(it);
+      message.Number = ++LastMessage;
+    QuotaRequest request{state.Name,
+                         {},
+                         ahead,
+                         std::exchange(server.Unused, 0),
+                         std::exchange(server.Charged, 0)};
+    server.InFlight.clear();
+    for (const auto &it : std::exchange(server.Queue, {})) {
+      request.Requested.push_back(it.Units);
+      server.InFlight.push_back(it);
     }
-    purse.Asking = true;
-    purse.AskedAt = now;
-    purse.AskNumber = message.Number;
-    purse.AskedAhead = ahead > 0;
-    message.Requests.push_back(std::move(ask));
+    server.RequestPending = true;
+    server.SentAt = now;
+    server.MessageNumber = message.Number;
+    server.AheadRequested = ahead > 0;
+    message.Requests.push_back(std::move(request));
   }
 }
 
 std::vector<QuotaClient::Message> QuotaClient::takeRequests(Instant now) {
   std::map<std::string, Message> messages;
-  for (auto *book : std::exchange(DueBooks, {})) {
-    book->Due = false;
-    addAsks(*book, messages, now);
+  for (auto *state : std::exchange(DueWorkspaces, {})) {
+    state->Due = false;
+    addRequests(*state, messages, now);
   }
   std::vector<Message> out;
   out.reserve(messages.size());
@@ -234,39 +241,40 @@
   return out;
 }
 
-void QuotaClient::takeGrant(Book &book, std::size_t index,
-                            const QuotaGrant &grant, Instant now,
-                            std::vector<Decision> &out) {
-  auto &purse = book.Purses[index];
-  purse.Asking = false;
-  // One that answers is not silent, however late.
-  purse.SilentUntil = Instant{};
-  auto asked = std::exchange(purse.Asked, {});
-  bool late = now > purse.AskedAt + Setup.GrantLife;
+void QuotaClient::applyGrant(WorkspaceState &state, std::size_t index,
+                             const QuotaGrant &grant, Instant now,
+                             std::vector<Decision> &out) {
+  auto &server = state.Servers[index];
+  server.RequestPending = false;
+  // A server that answers, however late, is not in backoff.
+  server.BackoffUntil = Instant{};
+  auto sent = std::exchange(server.InFlight, {});
+  bool late = now > server.SentAt + Options.GrantLifetime;
   if (!grant.Managed)
-    purse.SilentUntil = now + Setup.Silence;
+    server.BackoffUntil = now + Options.ServerBackoff;
   else if (grant.EmptyFor > Span(0))
-    purse.EmptyUntil = now + grant.EmptyFor;
-  if (std::exchange(purse.AskedAhead, false) && grant.Ahead <= 0)
-    purse.AheadAfter = now + Setup.AheadPause;
-  markDue(book);
+    server.EmptyUntil = now + grant.EmptyFor;
+  if (std::exchange(server.AheadRequested, false) && grant.Ahead <= 0)
+    server.NoAheadUntil = now + Options.AheadBackoff;
+  markDue(state);
   if (late) {
-    purse.Unused += grant.Ahead;
+    server.Unused += grant.Ahead;
   } else if (grant.Ahead > 0) {
-    purse.Grants.push_back({grant.Ahead, purse.AskedAt + Setup.GrantLife});
+    server.Grants.push_back(
+        {grant.Ahead, server.SentAt + Options.GrantLifetime});
   }
-  for (std::size_t it = 0; it < asked.size(); ++it) {
-    const auto &request = asked[it];
+  for (std::size_t it = 0; it < sent.size(); ++it) {
+    const auto &request = sent[it];
     bool passed = it < grant.GrantedCount;
-    if (request.Over) {
-      purse.Unused += passed ? request.Units : 0;
+    if (request.Decided) {
+      server.Unused += passed ? request.Units : 0;
       continue;
     }
     if (passed) {
       out.push_back({request.Number, Verdict::Allowed, Span(0)});
       continue;
     }
-    if (auto decision = place(book, index + 1, request, now))
+    if (auto decision = queueAtServer(state, index + 1, request, now))
       out.push_back(*decision);
   }
 }
@@ -276,63 +284,63 @@
                       std::span<const QuotaGrant> grants, Instant now) {
   std::vector<Decision> out;
   for (const auto &grant : grants) {
-    auto it = Books.find(grant.Workspace);
-    if (it == Books.end())
+    auto it = Workspaces.find(grant.Workspace);
+    if (it == Workspaces.end())
       continue;
-    auto &book = it->second;
-    for (std::size_t at = 0; at < book.Purses.size(); ++at) {
-      const auto &purse = book.Purses[at];
-      if (purse.Cell == cell && purse.AskNumber == number &&
-          (purse.Asking || !purse.Asked.empty()))
-        takeGrant(book, at, grant, now, out);
+    auto &state = it->second;
+    for (std::size_t at = 0; at < state.Servers.size(); ++at) {
+      const auto &server = state.Servers[at];
+      if (server.Cell == cell && server.MessageNumber == number &&
+          (server.RequestPending || !server.InFlight.empty()))
+        applyGrant(state, at, grant, now, out);
     }
   }
   return out;
 }
 
-void QuotaClient::moveOn(Book &book, std::size_t purse, Instant now,
-                         std::vector<Decision> &out) {
-  markDue(book);
-  auto &from = book.Purses[purse];
-  from.SilentUntil = now + Setup.Silence;
-  from.Asking = false;
-  auto waits = std::exchange(from.Waits, {});
-  for (auto &it : from.Asked)
-    if (!std::exchange(it.Over, true))
-      waits.push_back({it.Number, it.Units});
-  for (const auto &it : waits)
-    if (auto decision = place(book, purse + 1, it, now))
+void QuotaClient::failOver(WorkspaceState &state, std::size_t index,
+                           Instant now, std::vector<Decision> &out) {
+  markDue(state);
+  auto &from = state.Servers[index];
+  from.BackoffUntil = now + Options.ServerBackoff;
+  from.RequestPending = false;
+  auto waiting = std::exchange(from.Queue, {});
+  for (auto &it : from.InFlight)
+    if (!std::exchange(it.Decided, true))
+      waiting.push_back({it.Number, it.Units});
+  for (const auto &it : waiting)
+    if (auto decision = queueAtServer(state, index + 1, it, now))
       out.push_back(*decision);
 }
 
 std::vector<QuotaClient::Decision>
 QuotaClient::onServerLost(const std::string &cell, Instant now) {
   std::vector<Decision> out;
-  for (auto &[name, book] : Books)
-    for (std::size_t at = 0; at < book.Purses.size(); ++at)
-      if (book.Purses[at].Cell == cell) {
-        moveOn(book, at, now, out);
-        // No answer comes any more.
-        book.Purses[at].Asked.clear();
+  for (auto &[name, state] : Workspaces)
+    for (std::size_t at = 0; at < state.Servers.size(); ++at)
+      if (state.Servers[at].Cell == cell) {
+        failOver(state, at, now, out);
+        // No answer will arrive.
+        state.Servers[at].InFlight.clear();
       }
   return out;
 }
 
 std::vector<QuotaClient::Decision> QuotaClient::tick(Instant now) {
   std::vector<Decision> out;
-  for (auto &[name, book] : Books)
-    for (std::size_t at = 0; at < book.Purses.size(); ++at) {
-      auto &purse = book.Purses[at];
-      lapse(purse, now);
-      if (purse.Asking && now > purse.AskedAt + Setup.Patience)
-        moveOn(book, at, now, out);
-      if (!purse.Asking && now > purse.AskedAt + Setup.GrantLife)
-        purse.Asked.clear();
-      if (!purse.Asking && (purse.Unused > 0 || purse.Spent > 0))
-        markDue(book);
+  for (auto &[name, state] : Workspaces)
+    for (std::size_t at = 0; at < state.Servers.size(); ++at) {
+      auto &server = state.Servers[at];
+      dropExpiredGrants(server, now);
+      if (server.RequestPending && now > server.SentAt + Options.AnswerTimeout)
+        failOver(state, at, now, out);
+      if (!server.RequestPending && now > server.SentAt + Options.GrantLifetime)
+        server.InFlight.clear();
+      if (!server.RequestPending && (server.Unused > 0 || server.Charged > 0))
+        markDue(state);
     }
-  std::erase_if(Books, [now](const auto &it) {
-    return !it.second.Due && now - it.second.UsedAt > ForgetAfter;
+  std::erase_if(Workspaces, [now](const auto &it) {
+    return !it.second.Due && now - it.second.UsedAt > IdleTimeout;
   });
   return out;
 }
--- a/Hemlockglade/Coordination/Quota/QuotaClient.h
+++ b/Hemlockglade/Coordination/Quota/QuotaClient.h
@@ -6,47 +6,49 @@
 
 namespace hemlockglade {
 
-/// An entry's side of workspaces' limits: books each request before it may run,
-/// from what keepers have granted this entry, or by asking them.
+/// The quota client of an entry: reserves units of a workspace's limit for each
+/// request before it may run, from the grants of quota servers or by requests
+/// to them.
 ///
-/// A request waits for a keeper only where nothing is left of what was granted
-/// ahead, and is refused at once while all keepers are known to be empty. What
-/// was booked and did not run goes back. No clock, no sockets: what is to be
-/// sent is taken with `takeRequests`.
+/// A request waits for a server only if no units granted ahead are left, and is
+/// refused at once while all servers are known to be empty. Units that were
+/// reserved and not used are returned. Deterministic: time is passed in, and it
+/// does no I/O; `takeRequests` returns the messages to be sent.
 class QuotaClient {
 public:
   struct Settings {
-    /// Time of its present demand that the entry asks for ahead.
+    /// The entry requests units ahead for this much of its present demand.
     Span AheadFor = std::chrono::milliseconds(200);
-    /// How long a grant may be used after it was asked for, so that what a node
-    /// uses that was cut off or stood still is bounded.
-    Span GrantLife = std::chrono::milliseconds(500);
-    /// How long a keeper may take for an answer, and how long it is left alone
-    /// after it did not answer.
-    Span Patience = std::chrono::milliseconds(100);
-    Span Silence = std::chrono::milliseconds(500);
-    /// Time for which nothing is asked for ahead of a keeper that refused it.
-    Span AheadPause = std::chrono::milliseconds(100);
+    /// How long a grant may be used after it was requested. Bounds what a node
+    /// uses that was cut off or frozen.
+    Span GrantLifetime = std::chrono::milliseconds(500);
+    /// How long a quota server may take to answer, and the backoff after it did
+    /// not. The backoff is also the retry delay if no server answers.
+    Span AnswerTimeout = std::chrono::milliseconds(100);
+    Span ServerBackoff = std::chrono::milliseconds(500);
+    /// Time for which no units ahead are requested from a server that refused
+    /// them.
+    Span AheadBackoff = std::chrono::milliseconds(100);
     /// Time over which the demand is averaged.
-    Span DemandOver = std::chrono::milliseconds(400);
-    /// Latest time at which a refused caller is told to come back.
-    Span LongestRetry = std::chrono::seconds(4);
+    Span DemandWindow = std::chrono::milliseconds(400);
+    /// Longest retry delay that a refused caller gets.
+    Span MaxRetryAfter = std::chrono::seconds(4);
   };
   using Ticket = std::uint64_t;
   enum class Verdict : std::uint8_t {
     Allowed,
     /// The limit is used up.
     Limited,
-    /// No keeper answers: whether the limit is used up is not known.
+    /// No quota server answers: whether the limit is used up is not known.
     NoServer,
   };
   struct Decision {
     Ticket Number = 0;
     Verdict Result = Verdict::Allowed;
-    /// When to come back, unless it may go.
+    /// Delay until the caller should retry, unless the request is allowed.
     Span RetryAfter{0};
   };
-  /// Asks that go to one cell's owner in one message.
+  /// Requests that are sent to the owner of one cell in one message.
   struct Message {
     std::string Cell;
     std::uint64_t Number = 0;
@@ -54,115 +56,127 @@
   };
 
   QuotaClient(Settings settings, QuotaSettings quota)
-      : Setup(settings), Quota(quota) {}
+      : Options(settings), Quota(quota) {}
 
-  /// The cells of the deployment, the entry's own among them.
+  /// Sets the cells of the deployment, which include the entry's own.
   void setCells(std::vector<std::string> cells, const std::string &own);
-  /// Entries that share the limits, this one among them; for times to come
-  /// back.
-  void setEntries(std::size_t entries) { Entries = entries; }
+  /// Sets the number of entries that share the limits, this one included. Used
+  /// for retry times.
+  void setEntries(std::size_t entries) { EntryCount = entries; }
 
-  /// Books a request of so many units. Decided at once, or later by one of the
-  /// functions below.
+  /// Reserves `units` for a request. Returns the decision, or nothing if one of
+  /// the functions below returns it later.
   std::optional<Decision> reserve(Ticket number, const Workspace &workspace,
                                   double units, Instant now);
-  /// A request that ran before runs once more.
+  /// Charges units for a request that ran before and runs once more.
   void charge(const Workspace &workspace, double units, Instant now);
-  /// Units that were booked for what did not run.
+  /// Releases units that were reserved for a request that did not run.
   void release(const Workspace &workspace, double units, Instant now);
 
-  /// What is to be sent now.
+  /// Returns the messages that must be sent now.
   std::vector<Message> takeRequests(Instant now);
+  /// Called with the answer of a cell's owner to message `number`. Returns the
+  /// decisions that follow.
   std::vector<Decision> onGrants(const std::string &cell, std::uint64_t number,
                                  std::span<const QuotaGrant> grants,
                                  Instant now);
-  /// The owner of a cell can't be reached.
+  /// Called when the owner of a cell can't be reached. Returns the decisions
+  /// that follow.
   std::vector<Decision> onServerLost(const std::string &cell, Instant now);
-  /// Does what is due; to be called about every 50 ms.
+  /// Handles timeouts and expired grants; must be called about every 50 ms.
   std::vector<Decision> tick(Instant now);
 
-  std::size_t accounts() const { return Books.size(); }
+  /// Number of workspaces with state.
+  std::size_t workspaceCount() const { return Workspaces.size(); }
 
 private:
-  struct Waiting {
+  struct WaitingRequest {
     Ticket Number = 0;
     double Units = 0;
-    /// Decided while its answer was still to come.
-    bool Over = false;
+    /// Decided before its answer arrived.
+    bool Decided = false;
   };
   struct Grant {
     double Units = 0;
     Instant Until{};
   };
-  /// What an entry has of one keeper.
-  struct Purse {
+  /// The grants of one quota server and the requests that wait for it.
+  struct ServerState {
     std::string Cell;
-    /// What was granted ahead, each with its own end; the earliest first.
+    /// Units granted ahead, each with its own expiry; the earliest first.
     std::vector<Grant> Grants;
+    /// Granted units that were not used, and units that were used without a
+    /// grant; both are reported with the next request.
     double Unused = 0;
-    double Spent = 0;
-    std::deque<Waiting> Waits;
-    /// Those that were asked for, while an answer is awaited.
-    std::vector<Waiting> Asked;
-    std::uint64_t AskNumber = 0;
-    bool Asking = false;
-    bool AskedAhead = false;
-    Instant AskedAt{};
+    double Charged = 0;
+    std::deque<WaitingRequest> Queue;
+    /// Requests that were sent and have no answer yet.
+    std::vector<WaitingRequest> InFlight;
+    std::uint64_t MessageNumber = 0;
+    bool RequestPending = false;
+    bool AheadRequested = false;
+    Instant SentAt{};
     Instant EmptyUntil{};
-    Instant SilentUntil{};
-    /// Nothing is asked for ahead before, since the keeper has little left.
-    Instant AheadAfter{};
+    Instant BackoffUntil{};
+    /// No units ahead are requested before this time, since the server has few
+    /// left.
+    Instant NoAheadUntil{};
 
     double granted() const;
   };
-  struct Book {
+  struct WorkspaceState {
     std::string Name;
     WorkspaceLimit Limit;
-    /// The nearest keeper first.
-    std::vector<Purse> Purses;
-    /// Units a second that callers ask for, and of a usual request.
+    /// The nearest quota server first.
+    std::vector<ServerState> Servers;
+    /// Units per second that callers request, and mean units of a request.
     double Demand = 0;
-    double UsualUnits = 0;
+    double MeanUnits = 0;
     Instant DemandAt{};
-    /// It may have something to send.
+    /// It may have requests to send.
     bool Due = false;
     Instant UsedAt{};
-    /// Until when callers who were refused have been told to come back.
-    Instant PromisedUntil{};
+    /// The last retry time that was given to a refused caller.
+    Instant RetriesUntil{};
   };
 
-  Book &bookOf(const Workspace &workspace, Instant now);
-  void openPurses(const std::string &name, Book &book) const;
-  /// Units a second that callers ask for now.
-  double demandOf(const Book &book, Instant now) const;
-  /// Takes units from what was granted, if one keeper's grant has them all.
-  static bool useGranted(Book &book, double units, Instant now);
-  void noteDemand(Book &book, double units, Instant now) const;
-  void markDue(Book &book);
-  void addAsks(Book &book, std::map<std::string, Message> &messages,
-               Instant now);
-  /// Puts a request before the next keeper that may have something, from the
-  /// given one on.
-  std::optional<Decision> place(Book &book, std::size_t first, Waiting it,
-                                Instant now);
-  Decision refuse(Book &book, const Waiting &it, Instant now) const;
-  /// Moves all that wait at a purse on to the next.
-  void moveOn(Book &book, std::size_t purse, Instant now,
-              std::vector<Decision> &out);
-  /// Gives back what was granted too long ago.
-  static void lapse(Purse &purse, Instant now);
-  double aheadOf(const Book &book, const Purse &purse, Instant now) const;
-  void takeGrant(Book &book, std::size_t index, const QuotaGrant &grant,
-                 Instant now, std::vector<Decision> &out);
+  WorkspaceState &stateOf(const Workspace &workspace, Instant now);
+  void selectServers(const std::string &name, WorkspaceState &state) const;
+  /// Returns the units per second that callers request now.
+  double demandOf(const WorkspaceState &state, Instant now) const;
+  /// Takes units from granted ones, if those of one server suffice.
+  static bool useGranted(WorkspaceState &state, double units, Instant now);
+  void updateDemand(WorkspaceState &state, double units, Instant now) const;
+  void markDue(WorkspaceState &state);
+  void addRequests(WorkspaceState &state,
+                   std::map<std::string, Message> &messages, Instant now);
+  /// Queues a request at the next server that may have units, from index
+  /// `first` on, or refuses it.
+  std::optional<Decision> queueAtServer(WorkspaceState &state,
+                                        std::size_t first, WaitingRequest it,
+                                        Instant now);
+  Decision refuse(WorkspaceState &state, const WaitingRequest &it,
+                  Instant now) const;
+  /// Moves all requests that wait at a server to the next one.
+  void failOver(WorkspaceState &state, std::size_t index, Instant now,
+                std::vector<Decision> &out);
+  /// Moves the units of expired grants to the unused ones.
+  static void dropExpiredGrants(ServerState &server, Instant now);
+  /// Returns the units ahead that should be requested from a server now.
+  double unitsAhead(const WorkspaceState &state, const ServerState &server,
+                    Instant now) const;
+  void applyGrant(WorkspaceState &state, std::size_t index,
+                  const QuotaGrant &grant, Instant now,
+                  std::vector<Decision> &out);
 
-  const Settings Setup;
+  const Settings Options;
   const QuotaSettings Quota;
   std::vector<std::string> Cells;
-  std::string Own;
-  std::size_t Entries = 1;
-  std::uint64_t LastAsk = 0;
-  std::map<std::string, Book, std::less<>> Books;
-  std::vector<Book *> DueBooks;
+  std::string OwnCell;
+  std::size_t EntryCount = 1;
+  std::uint64_t LastMessage = 0;
+  std::map<std::string, WorkspaceState, std::less<>> Workspaces;
+  std::vector<WorkspaceState *> DueWorkspaces;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Quota/QuotaShares.cpp
+++ b/Hemlockglade/Coordination/Quota/QuotaShares.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// The same at all nodes, whatever library they were built with.
+/// Returns the same value on all nodes, whatever standard library they were
+/// built with.
 std::uint64_t rankOf(std::string_view workspace, std::string_view cell) {
   std::string text(workspace);
   text.append("@").append(cell);
@@ -28,8 +29,8 @@
   if (cells.empty())
     return {};
   bool tokens = limit.Unit == LimitUnit::Tokens;
-  auto least = tokens ? settings.LeastPartTokens : settings.LeastPartRequests;
-  auto parts = std::floor(allowanceOf(limit, settings) / least);
+  auto minPart = tokens ? settings.MinPartTokens : settings.MinPartRequests;
+  auto parts = std::floor(allowanceOf(limit, settings) / minPart);
   auto n = static_cast<std::size_t>(
       std::clamp(parts, 1.0, static_cast<double>(cells.size())));
   std::vector<std::string> out(cells.begin(), cells.end());
@@ -42,16 +43,16 @@
 }
 
 TokenBucket::Settings bucketSettingsFor(const WorkspaceLimit &limit,
-                                        std::size_t keepers,
+                                        std::size_t servers,
                                         const QuotaSettings &settings) {
-  auto n = static_cast<double>(std::max<std::size_t>(1, keepers));
-  auto beyond =
+  auto n = static_cast<double>(std::max<std::size_t>(1, servers));
+  auto excess =
       settings.Overshoot * allowanceOf(limit, settings) + settings.Slack;
   TokenBucket::Settings out;
   out.PerSecond = limit.PerSecond / n;
   out.Burst = limit.Burst / n;
-  out.Debt = settings.DebtShare * beyond / n;
-  out.DebtGrows = settings.Window;
+  out.Debt = settings.DebtShare * excess / n;
+  out.DebtRampTime = settings.Window;
   return out;
 }
 
--- a/Hemlockglade/Coordination/Quota/QuotaShares.h
+++ b/Hemlockglade/Coordination/Quota/QuotaShares.h
@@ -8,37 +8,39 @@
 
 namespace hemlockglade {
 
-/// How far the deployment lets workspaces beyond their limits, which hold
-/// over all nodes.
+/// How far workspaces may exceed their limits, which apply to all nodes
+/// together.
 struct QuotaSettings {
-  /// Any span of this length counts.
+  /// Length of the sliding window over which usage is compared with a limit.
   Span Window = std::chrono::seconds(8);
-  /// Share of what a limit allows within a window, and units beside.
+  /// Tolerated excess within a window: a share of what the limit allows, plus
+  /// units.
   double Overshoot = 0.1;
   double Slack = 0;
-  /// Share of both that buckets may owe. As much again covers a takeover, and
-  /// the rest what nodes that are lost were granted ahead.
+  /// Share of the tolerated excess that buckets may owe. As much again covers a
+  /// takeover, and the rest covers what failed nodes were granted ahead.
   double DebtShare = 0.4;
-  /// Least that the part of one cell must let pass within a window: a few
-  /// requests, since a part is of use to whole requests only.
-  double LeastPartTokens = 8000;
-  double LeastPartRequests = 4;
+  /// Minimum that the part of one cell must let pass within a window: a few
+  /// requests, since a part serves whole requests only.
+  double MinPartTokens = 8000;
+  double MinPartRequests = 4;
 };
 
-/// Units that a limit lets pass within a window.
+/// Returns the units that a limit lets pass within a window.
 double allowanceOf(const WorkspaceLimit &limit, const QuotaSettings &settings);
 
-/// Cells whose owners keep a workspace's limit, each an equal part: the same at
-/// every node, and in the same order. All cells for a large limit, so that the
-/// loss of one owner costs its part only; few or one for a small one.
+/// Returns the cells whose owners manage a workspace's limit, each an equal
+/// part: the same on every node, and in the same order. These are all cells for
+/// a large limit, so that the failure of one owner costs only its part, and few
+/// or one for a small limit.
 std::vector<std::string> quotaServersOf(std::string_view workspace,
                                         const WorkspaceLimit &limit,
                                         std::span<const std::string> cells,
                                         const QuotaSettings &settings);
 
-/// Bounds of the bucket of one of so many keepers.
+/// Returns the bounds of the bucket of one out of `servers` quota servers.
 TokenBucket::Settings bucketSettingsFor(const WorkspaceLimit &limit,
-                                        std::size_t keepers,
+                                        std::size_t servers,
                                         const QuotaSettings &settings);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Quota/TokenBucket.cpp
+++ b/Hemlockglade/Coordination/Quota/TokenBucket.cpp
@@ -4,54 +4,54 @@
 
 namespace hemlockglade {
 
-void TokenBucket::fill(Instant now) {
-  if (now <= FilledAt)
+void TokenBucket::refill(Instant now) {
+  if (now <= RefilledAt)
     return;
-  Level = std::min(Setup.Burst,
-                   Level + Setup.PerSecond * inSeconds(now - FilledAt));
-  FilledAt = now;
+  Level = std::min(Options.Burst,
+                   Level + Options.PerSecond * inSeconds(now - RefilledAt));
+  RefilledAt = now;
 }
 
 void TokenBucket::setBounds(const Settings &settings, Instant now) {
-  fill(now);
-  Setup = settings;
-  Level = std::min(Level, Setup.Burst);
+  refill(now);
+  Options = settings;
+  Level = std::min(Level, Options.Burst);
 }
 
-double TokenBucket::levelFor(double units, Instant now) const {
-  auto grown = std::clamp(inSeconds(now - BegunAt) / inSeconds(Setup.DebtGrows),
-                          0.0, 1.0);
+double TokenBucket::minLevelFor(double units, Instant now) const {
+  auto ramp = std::clamp(
+      inSeconds(now - StartedAt) / inSeconds(Options.DebtRampTime), 0.0, 1.0);
   // A request above the burst would never pass otherwise.
-  return std::max(0.0, std::min(units, Setup.Burst) - Setup.Debt * grown);
+  return std::max(0.0, std::min(units, Options.Burst) - Options.Debt * ramp);
 }
 
 bool TokenBucket::tryTake(double units, Instant now) {
-  fill(now);
-  if (Level < levelFor(units, now))
+  refill(now);
+  if (Level < minLevelFor(units, now))
     return false;
   Level -= units;
   return true;
 }
 
 void TokenBucket::charge(double units, Instant now) {
-  fill(now);
+  refill(now);
   Level -= units;
 }
 
 void TokenBucket::release(double units, Instant now) {
-  fill(now);
-  Level = std::min(Setup.Burst, Level + units);
+  refill(now);
+  Level = std::min(Options.Burst, Level + units);
 }
 
 double TokenBucket::level(Instant now) {
-  fill(now);
+  refill(now);
   return Level;
 }
 
 Span TokenBucket::timeUntil(double units, Instant now) {
-  fill(now);
-  auto missing = levelFor(units, now) - Level;
-  return missing > 0 ? spanOf(missing / Setup.PerSecond) : Span(0);
+  refill(now);
+  auto missing = minLevelFor(units, now) - Level;
+  return missing > 0 ? spanOf(missing / Options.PerSecond) : Span(0);
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Quota/TokenBucket.h
+++ b/Hemlockglade/Coordination/Quota/TokenBucket.h
@@ -4,47 +4,49 @@
 
 namespace hemlockglade {
 
-/// Lets so many units a second pass, and a burst beside. Begins empty, so that
-/// one that takes over from another lets no burst pass twice. No clock.
+/// Limits a rate of units per second, plus a burst. Starts empty, so that a
+/// bucket that takes over from another lets no burst pass twice. Time is passed
+/// in.
 class TokenBucket {
 public:
   struct Settings {
-    /// Units a second, above 0.
+    /// Units per second, above 0.
     double PerSecond = 1;
-    /// Units that it holds at most.
+    /// Maximum level, in units.
     double Burst = 0;
-    /// Units that it may owe: requests of all sizes pass alike while it holds
-    /// anything, rather than the small ones alone.
+    /// Units that it may owe. Lets requests of all sizes pass alike while the
+    /// level is positive, instead of the small ones only.
     double Debt = 0;
-    /// Time over which a new bucket comes to its full debt, so that several
-    /// takeovers within that time lend it once together.
-    Span DebtGrows = std::chrono::seconds(8);
+    /// Time over which the debt of a new bucket rises to its full value, so
+    /// that several takeovers within that time lend it only once in all.
+    Span DebtRampTime = std::chrono::seconds(8);
   };
 
   TokenBucket(const Settings &settings, Instant now)
-      : Setup(settings), BegunAt(now), FilledAt(now) {}
+      : Options(settings), StartedAt(now), RefilledAt(now) {}
 
-  /// Takes over other bounds; what it holds stays, up to the burst.
+  /// Replaces the settings; the level stays, up to the new burst.
   void setBounds(const Settings &settings, Instant now);
-  /// Whether a request of that size passes; if so, it is taken.
+  /// Takes the units and returns true if a request of that size passes.
   bool tryTake(double units, Instant now);
-  /// Takes units that were used already.
+  /// Takes units that were used already, whatever the level.
   void charge(double units, Instant now);
+  /// Adds back units that were taken and not used, up to the burst.
   void release(double units, Instant now);
-  /// Units that it holds; negative if it owes some.
+  /// Returns the level in units; negative if it owes some.
   double level(Instant now);
-  /// How long until a request of that size passes, if nothing else does.
+  /// Returns the time until a request of that size passes, if no other does.
   Span timeUntil(double units, Instant now);
-  const Settings &settings() const { return Setup; }
+  const Settings &settings() const { return Options; }
 
 private:
-  void fill(Instant now);
-  /// Least level at which a request of that size passes.
-  double levelFor(double units, Instant now) const;
+  void refill(Instant now);
+  /// Returns the minimum level at which a request of that size passes.
+  double minLevelFor(double units, Instant now) const;
 
-  Settings Setup;
-  Instant BegunAt;
-  Instant FilledAt;
+  Settings Options;
+  Instant StartedAt;
+  Instant RefilledAt;
   double Level = 0;
 };
 
--- a/UnitTests/Coordination/Quota/QuotaWorld.h
+++ b/UnitTests/Coordination/Quota/QuotaWorld.h
@@ -11,56 +11,57 @@
 namespace hemlockglade::test {
 
 /// How entries share a limit.
-enum class QuotaWay : std::uint8_t {
-  /// Keepers grant, ahead where there is demand.
+enum class QuotaSharing : std::uint8_t {
+  /// Quota servers grant units, ahead where there is demand.
   Granted,
-  /// Each request asks its keeper.
-  AskEach,
-  /// Each entry has an equal part of the limit to itself.
+  /// Each request is sent to a quota server.
+  PerRequest,
+  /// Each entry has an equal part of the limit for itself.
   EvenSplit,
 };
 
-/// Entries and owners of cells that share one workspace's limit, in virtual
-/// time: messages take time, owners and entries are lost, stand still, and are
-/// replaced.
+/// Simulates entries and owners of cells that share one workspace's limit, in
+/// virtual time: messages are delayed, and owners and entries fail, freeze and
+/// restart.
 class QuotaWorld {
 public:
   struct Settings {
-    QuotaWay Way = QuotaWay::Granted;
+    QuotaSharing Sharing = QuotaSharing::Granted;
     std::size_t Entries = 9;
     std::size_t Cells = 3;
     WorkspaceLimit Limit;
     QuotaSettings Quota;
     std::uint32_t Seed = 1;
-    /// One way between nodes, at most.
+    /// Maximum one-way delay between nodes.
     Span Delay = std::chrono::microseconds(1500);
-    /// From the loss of an owner until the next one may grant.
+    /// Time from the failure of an owner until the next one may grant.
     Span Takeover = std::chrono::milliseconds(7000);
   };
   struct Request {
     Instant SentAt{};
     Instant DecidedAt{};
     double Units = 0;
-    QuotaClient::Verdict What = QuotaClient::Verdict::Allowed;
+    QuotaClient::Verdict Result = QuotaClient::Verdict::Allowed;
     Span RetryAfter{0};
   };
 
   explicit QuotaWorld(Settings settings)
-      : Setup(settings), Random(settings.Seed) {
-    Space.Name = "w";
-    Space.Limit = Setup.Limit;
-    for (std::size_t it = 0; it < Setup.Cells; ++it)
+      : Options(settings), Random(settings.Seed) {
+    LimitedWorkspace.Name = "w";
+    LimitedWorkspace.Limit = Options.Limit;
+    for (std::size_t it = 0; it < Options.Cells; ++it)
       CellNames.push_back("cell-" + std::to_string(it));
     for (const auto &it : CellNames)
-      beginKeeper(Keepers[it], it);
-    for (std::size_t it = 0; it < Setup.Entries; ++it)
+      startServer(Owners[it], it);
+    for (std::size_t it = 0; it < Options.Entries; ++it)
       addEntry();
     tick();
   }
 
-  /// Callers ask for so many units a second, in requests of about that size,
-  /// at all entries or at the first alone.
-  void load(double perSecond, double units, Span span, bool atOne = false) {
+  /// Schedules requests of `units` on average that add up to `perSecond`, at
+  /// all entries or only at the first.
+  void load(double perSecond, double units, Span span,
+            bool atOneEntry = false) {
     std::exponential_distribution<double> gap(perSecond / units);
     std::uniform_real_distribution<double> size(0.5 * units, 1.5 * units);
     double at = 0;
@@ -69,88 +70,90 @@
       if (spanOf(at) > span)
         break;
       auto n = size(Random);
-      auto entry = atOne ? 0 : Random() % Entries.size();
-      Time.after(spanOf(at), [this, entry, n] { ask(entry, n); });
+      auto entry = atOneEntry ? 0 : Random() % Entries.size();
+      Time.after(spanOf(at), [this, entry, n] { reserve(entry, n); });
     }
   }
 
-  /// One request at an entry.
-  void ask(std::size_t entry, double units) {
+  /// Sends one request to an entry.
+  void reserve(std::size_t entry, double units) {
     auto &at = *Entries[entry];
     if (at.FrozenUntil > Time.now())
       return;
     auto number = Requests.size();
     Requests.push_back({Time.now(), {}, units});
-    if (Setup.Way == QuotaWay::EvenSplit) {
-      bool passes = at.Own.tryTake(units, Time.now());
+    if (Options.Sharing == QuotaSharing::EvenSplit) {
+      bool passes = at.OwnBucket.tryTake(units, Time.now());
       return decide({number, passes ? QuotaClient::Verdict::Allowed
                                     : QuotaClient::Verdict::Limited});
     }
-    if (auto decision = at.Account->reserve(number, Space, units, Time.now()))
+    if (auto decision =
+            at.Client->reserve(number, LimitedWorkspace, units, Time.now()))
       decide(*decision);
-    pumpSoon(entry);
+    sendRequestsSoon(entry);
   }
 
   void advance(Span span) { Time.advance(span); }
   Instant now() const { return Time.now(); }
 
-  /// An entry is lost with what it was granted, and comes back knowing nothing.
+  /// Restarts an entry, which loses its grants and its state.
   void restartEntry(std::size_t entry) {
     auto &it = *Entries[entry];
-    ++it.Life;
-    newAccount(it);
+    ++it.Incarnation;
+    startClient(it);
   }
-  /// It stands still for a while; what was granted waits with it.
+  /// Freezes an entry for a while; it keeps its grants.
   void freezeEntry(std::size_t entry, Span span) {
     Entries[entry]->FrozenUntil = Time.now() + span;
   }
-  /// The owner of a cell is lost; the next one grants after a while.
-  void loseOwner(std::size_t cell) {
-    auto &keeper = Keepers[CellNames[cell]];
-    keeper.Keeper = nullptr;
-    Time.after(Setup.Takeover, [this, &keeper, name = CellNames[cell]] {
-      beginKeeper(keeper, name);
+  /// Stops the owner of a cell; the next one starts after `Takeover`.
+  void failOwner(std::size_t cell) {
+    auto &owner = Owners[CellNames[cell]];
+    owner.Server = nullptr;
+    Time.after(Options.Takeover, [this, &owner, name = CellNames[cell]] {
+      startServer(owner, name);
     });
   }
-  /// The process of an owner starts anew at once.
+  /// Restarts the process of an owner at once.
   void restartOwner(std::size_t cell) {
-    beginKeeper(Keepers[CellNames[cell]], CellNames[cell]);
+    startServer(Owners[CellNames[cell]], CellNames[cell]);
   }
   void setLimit(const WorkspaceLimit &limit) {
-    Space.Limit = limit;
-    for (auto &[name, it] : Keepers)
-      if (it.Keeper)
-        it.Keeper->setLimits(directory(), CellNames, Time.now());
+    LimitedWorkspace.Limit = limit;
+    for (auto &[name, it] : Owners)
+      if (it.Server)
+        it.Server->setLimits(directory(), CellNames, Time.now());
   }
-  void giveBack(std::size_t entry, double units) {
-    Entries[entry]->Account->release(Space, units, Time.now());
+  void release(std::size_t entry, double units) {
+    Entries[entry]->Client->release(LimitedWorkspace, units, Time.now());
   }
 
   const std::vector<Request> &requests() const { return Requests; }
   std::uint64_t messages() const { return Messages; }
   std::size_t entries() const { return Entries.size(); }
 
-  /// Most units that passed within any window, of those that were sent in it.
-  double mostWithin(Span window) const {
+  /// Returns the maximum number of units that were allowed within any window.
+  double maxWithin(Span window) const {
     std::vector<std::pair<Instant, double>> passed;
     for (const auto &it : Requests)
-      if (it.What == QuotaClient::Verdict::Allowed && it.DecidedAt > Instant{})
+      if (it.Result == QuotaClient::Verdict::Allowed &&
+          it.DecidedAt > Instant{})
         passed.emplace_back(it.DecidedAt, it.Units);
     std::sort(passed.begin(), passed.end());
-    double most = 0;
+    double maxUnits = 0;
     double sum = 0;
     std::size_t first = 0;
     for (const auto &[at, units] : passed) {
       sum += units;
       while (passed[first].first < at - window)
         sum -= passed[first++].second;
-      most = std::max(most, sum);
+      maxUnits = std::max(maxUnits, sum);
     }
-    return most;
+    return maxUnits;
   }
 
-  /// Units that passed, and share of the requests that were refused, of those
-  /// sent from a moment on.
+  /// Returns the units that passed and the share of requests that were refused,
+  /// of the requests sent at `from` or later.
   std::pair<double, double> outcome(Instant from) const {
     double passed = 0;
     double refused = 0;
@@ -159,7 +162,7 @@
       if (it.SentAt < from)
         continue;
       ++all;
-      if (it.What == QuotaClient::Verdict::Allowed)
+      if (it.Result == QuotaClient::Verdict::Allowed)
         passed += it.Units;
       else
         ++refused;
@@ -167,7 +170,7 @@
     return {passed, all > 0 ? refused / all : 0};
   }
 
-  /// Longest time that a request waited to be decided.
+  /// Returns the longest time that a request waited for its decision.
   Span longestWait() const {
     Span out{0};
     for (const auto &it : Requests)
@@ -175,52 +178,53 @@
     return out;
   }
 
-  const Settings Setup;
+  const Settings Options;
 
 private:
   struct Entry {
-    std::unique_ptr<QuotaClient> Account;
-    TokenBucket Own{TokenBucket::Settings{}, Instant{}};
+    std::unique_ptr<QuotaClient> Client;
+    TokenBucket OwnBucket{TokenBucket::Settings{}, Instant{}};
     std::string Cell;
     Instant FrozenUntil{};
-    std::uint64_t Life = 0;
-    bool PumpDue = false;
+    std::uint64_t Incarnation = 0;
+    bool SendDue = false;
   };
   struct Owner {
-    std::unique_ptr<QuotaServer> Keeper;
+    std::unique_ptr<QuotaServer> Server;
   };
 
   WorkspaceDirectory directory() const {
-    return WorkspaceDirectory({{Space, {}}});
+    return WorkspaceDirectory({{LimitedWorkspace, {}}});
   }
 
-  void beginKeeper(Owner &owner, const std::string &cell) {
-    owner.Keeper = std::make_unique<QuotaServer>(cell, Setup.Quota);
-    owner.Keeper->setLimits(directory(), CellNames, Time.now());
+  void startServer(Owner &owner, const std::string &cell) {
+    owner.Server = std::make_unique<QuotaServer>(cell, Options.Quota);
+    owner.Server->setLimits(directory(), CellNames, Time.now());
   }
 
   void addEntry() {
     auto it = std::make_unique<Entry>();
     it->Cell = CellNames[Entries.size() % CellNames.size()];
-    auto part = Setup.Limit;
-    auto n = static_cast<double>(Setup.Entries);
-    it->Own = TokenBucket({part.PerSecond / n, part.Burst / n, 0}, Time.now());
-    newAccount(*it);
+    auto limit = Options.Limit;
+    auto n = static_cast<double>(Options.Entries);
+    it->OwnBucket =
+        TokenBucket({limit.PerSecond / n, limit.Burst / n, 0}, Time.now());
+    startClient(*it);
     Entries.push_back(std::move(it));
   }
 
-  void newAccount(Entry &it) {
+  void startClient(Entry &it) {
     QuotaClient::Settings settings;
-    if (Setup.Way == QuotaWay::AskEach)
+    if (Options.Sharing == QuotaSharing::PerRequest)
       settings.AheadFor = Span(0);
-    it.Account = std::make_unique<QuotaClient>(settings, Setup.Quota);
-    it.Account->setCells(CellNames, it.Cell);
-    it.Account->setEntries(Setup.Entries);
+    it.Client = std::make_unique<QuotaClient>(settings, Options.Quota);
+    it.Client->setCells(CellNames, it.Cell);
+    it.Client->setEntries(Options.Entries);
   }
 
   void decide(const QuotaClient::Decision &it) {
     auto &request = Requests[it.Number];
-    request.What = it.Result;
+    request.Result = it.Result;
     request.RetryAfter = it.RetryAfter;
     request.DecidedAt = Time.now();
   }
@@ -229,48 +233,49 @@
       decide(it);
   }
 
-  /// Calls back at an entry in the life that it has now, once it runs.
-  void atEntry(std::size_t entry, Span delay, std::function<void()> call) {
-    auto life = Entries[entry]->Life;
-    Time.after(delay, [this, entry, life, call = std::move(call)] {
+  /// Runs a call at an entry after a delay, or once it is no longer frozen;
+  /// never after a restart of the entry.
+  void callAtEntry(std::size_t entry, Span delay, std::function<void()> call) {
+    auto incarnation = Entries[entry]->Incarnation;
+    Time.after(delay, [this, entry, incarnation, call = std::move(call)] {
       auto &it = *Entries[entry];
-      if (it.Life != life)
+      if (it.Incarnation != incarnation)
         return;
       if (it.FrozenUntil > Time.now())
-        return atEntry(entry, it.FrozenUntil - Time.now(), call);
+        return callAtEntry(entry, it.FrozenUntil - Time.now(), call);
       call();
     });
   }
 
-  void pumpSoon(std::size_t entry) {
-    if (std::exchange(Entries[entry]->PumpDue, true))
+  void sendRequestsSoon(std::size_t entry) {
+    if (std::exchange(Entries[entry]->SendDue, true))
       return;
     Time.after(Span(0), [this, entry] {
-      Entries[entry]->PumpDue = false;
+      Entries[entry]->SendDue = false;
       if (Entries[entry]->FrozenUntil <= Time.now())
-        pump(entry);
+        sendRequests(entry);
     });
   }
 
-  void pump(std::size_t entry) {
-    for (const auto &it : Entries[entry]->Account->takeRequests(Time.now())) {
+  void sendRequests(std::size_t entry) {
+    for (const auto &it : Entries[entry]->Client->takeRequests(Time.now())) {
       ++Messages;
-      Time.after(delay(), [this, entry, it] { onAsk(entry, it); });
+      Time.after(delay(), [this, entry, it] { onRequests(entry, it); });
     }
   }
 
-  void onAsk(std::size_t entry, const QuotaClient::Message &message) {
-    auto &owner = Keepers[message.Cell];
-    if (!owner.Keeper)
+  void onRequests(std::size_t entry, const QuotaClient::Message &message) {
+    auto &owner = Owners[message.Cell];
+    if (!owner.Server)
       return;
     ++Messages;
     std::vector<QuotaGrant> grants;
     for (const auto &it : message.Requests)
-      grants.push_back(owner.Keeper->onRequest(it, Time.now()));
-    atEntry(entry, delay(), [this, entry, message, grants] {
-      decide(Entries[entry]->Account->onGrants(message.Cell, message.Number,
-                                               grants, Time.now()));
-      pump(entry);
+      grants.push_back(owner.Server->onRequest(it, Time.now()));
+    callAtEntry(entry, delay(), [this, entry, message, grants] {
+      decide(Entries[entry]->Client->onGrants(message.Cell, message.Number,
+                                              grants, Time.now()));
+      sendRequests(entry);
     });
   }
 
@@ -278,23 +283,23 @@
     for (std::size_t it = 0; it < Entries.size(); ++it) {
       if (Entries[it]->FrozenUntil > Time.now())
         continue;
-      decide(Entries[it]->Account->tick(Time.now()));
-      pump(it);
+      decide(Entries[it]->Client->tick(Time.now()));
+      sendRequests(it);
     }
-    constexpr Span Every = std::chrono::milliseconds(50);
-    Time.after(Every, [this] { tick(); });
+    constexpr Span Interval = std::chrono::milliseconds(50);
+    Time.after(Interval, [this] { tick(); });
   }
 
   Span delay() {
-    std::uniform_int_distribution<std::int64_t> any(50, Setup.Delay.count());
+    std::uniform_int_distribution<std::int64_t> any(50, Options.Delay.count());
     return Span(any(Random));
   }
 
   std::mt19937 Random;
   VirtualTime Time;
-  Workspace Space;
+  Workspace LimitedWorkspace;
   std::vector<std::string> CellNames;
-  std::map<std::string, Owner> Keepers;
+  std::map<std::string, Owner> Owners;
   std::vector<std::unique_ptr<Entry>> Entries;
   std::vector<Request> Requests;
   std::uint64_t Messages = 0;
