--- a/Hemlockglade/Coordination/Retry/OutcomeOf.cpp
+++ b/Hemlockglade/Coordination/Retry/OutcomeOf.cpp
@@ -2,13 +2,13 @@
 
 namespace hemlockglade {
 
-Outcome outcomeOf(const AttemptObservation &seen) {
-  if (!seen.MayHaveSent)
+Outcome outcomeOf(const AttemptObservation &observation) {
+  if (!observation.MayHaveSent)
     return Outcome::NotRun;
-  // A refusal that is cut off may be the beginning of anything.
-  if (seen.RefusedBeforeRunning && seen.AnswerWhole)
+  // A truncated refusal may be the beginning of any answer.
+  if (observation.RefusedBeforeRunning && observation.AnswerWhole)
     return Outcome::NotRun;
-  if (seen.AnswerWhole && seen.PassedWhole)
+  if (observation.AnswerWhole && observation.PassedWhole)
     return Outcome::Complete;
   return Outcome::Unknown;
 }
--- a/Hemlockglade/Coordination/Retry/OutcomeOf.h
+++ b/Hemlockglade/Coordination/Retry/OutcomeOf.h
@@ -4,25 +4,26 @@
 
 namespace hemlockglade {
 
-/// What was seen of one attempt at an endpoint.
+/// What a node observed of one attempt at an endpoint.
 struct AttemptObservation {
   /// A byte of the request may have reached the endpoint.
   bool MayHaveSent = false;
-  /// The endpoint itself said that it refused before running.
+  /// The endpoint itself answered that it refused the request before running
+  /// it.
   bool RefusedBeforeRunning = false;
-  /// The endpoint's answer came with its end.
+  /// The endpoint's answer arrived completely.
   bool AnswerWhole = false;
-  /// All of the answer went to the caller.
+  /// The whole answer was sent to the caller.
   bool PassedWhole = false;
 };
 
-/// The outcome of an attempt: `NotRun` only if no byte reached the endpoint or
-/// it refused before running; `Complete` only if the caller has all of the
-/// answer; everything else may have run.
-Outcome outcomeOf(const AttemptObservation &seen);
+/// Returns the outcome of an attempt: `NotRun` only if no byte reached the
+/// endpoint or it refused before running; `Complete` only if the whole answer
+/// was sent to the caller; otherwise `Unknown`, since the request may have run.
+Outcome outcomeOf(const AttemptObservation &observation);
 
-/// The outcome of a request whose earlier attempts ended as `earlier` and the
-/// last one as `last`: not run only if none of them ran.
+/// Returns the outcome of a request whose earlier attempts ended as `earlier`
+/// and the last one as `last`: `NotRun` only if none of them ran.
 Outcome outcomeAfter(Outcome earlier, Outcome last);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Retry/PendingAdmissions.h
+++ b/Hemlockglade/Coordination/Retry/PendingAdmissions.h
@@ -10,7 +10,7 @@
 
 namespace hemlockglade {
 
-/// Why an owner's answer is not waited for any longer.
+/// Why the wait for an owner's answer ended without one.
 enum class AdmissionFailure {
   /// Another node owns the cell now, or none does.
   OwnerChanged,
@@ -19,37 +19,39 @@
 };
 
 /// Requests for admission that wait for an answer of their cell's owner. A
-/// frozen owner keeps its connections open and answers nothing, so the end of
-/// a wait can't be left to the connection. Safe to call from several threads.
+/// frozen owner keeps its connections open and does not answer, so an error of
+/// the connection is not enough to end a wait. Safe to call from several
+/// threads.
 class PendingAdmissions {
 public:
   using Ticket = std::uint64_t;
   using OnFailure = std::function<void(AdmissionFailure)>;
-  /// The address of a cell's owner as known now; empty if there is none.
+  /// Returns the currently known address of a cell's owner; empty if there is
+  /// none.
   using OwnerOf = std::function<std::string(const std::string &cell)>;
 
-  /// Waits for the answer of the owner at an address. `onFailure` is called at
-  /// most once, by `tick`, outside the lock.
+  /// Adds a wait for the answer of the owner at address `owner`. `onFailure` is
+  /// called at most once, by `tick`, outside the lock.
   Ticket add(std::string cell, std::string owner, Instant deadline,
              OnFailure onFailure);
-  /// The answer is here, or nobody waits for it any more.
+  /// Removes a wait because the answer arrived or is no longer needed.
   void remove(Ticket ticket);
   /// Ends all waits whose owner has changed or whose deadline has passed.
   void tick(Instant now, const OwnerOf &ownerOf);
 
 private:
-  struct Ask {
+  struct PendingAdmission {
     std::string Cell;
     std::string Owner;
     Instant Deadline{};
-    OnFailure Failed;
+    OnFailure Callback;
   };
 
-  std::vector<std::string> waitedCells() const;
+  std::vector<std::string> pendingCells() const;
 
   mutable std::mutex Mutex;
-  Ticket Last = 0;
-  std::map<Ticket, Ask> Asks;
+  Ticket LastTicket = 0;
+  std::map<Ticket, PendingAdmission> Pending;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Retry/RetryPolicy.cpp
+++ b/Hemlockglade/Coordination/Retry/RetryPolicy.cpp
@@ -13,7 +13,7 @@
 }
 
 RetryVerdict RetryPolicy::decide(const FailedAttempt &attempt, Instant now) {
-  auto verdict = judge(attempt, now);
+  auto verdict = checkAttempt(attempt, now);
   if (verdict != RetryVerdict::Retry)
     return verdict;
   std::lock_guard lock(Mutex);
@@ -29,8 +29,8 @@
   return RetryVerdict::Retry;
 }
 
-RetryVerdict RetryPolicy::judge(const FailedAttempt &attempt,
-                                Instant now) const {
+RetryVerdict RetryPolicy::checkAttempt(const FailedAttempt &attempt,
+                                       Instant now) const {
   if (attempt.How == Outcome::Complete)
     return RetryVerdict::Complete;
   if (attempt.FirstBytePassed)
@@ -39,7 +39,7 @@
     return RetryVerdict::NotRepeatable;
   if (attempt.Attempts >= Settings.MaxAttempts)
     return RetryVerdict::AttemptsSpent;
-  if (attempt.Deadline - now < Settings.LeastAttempt)
+  if (attempt.Deadline - now < Settings.MinAttemptTime)
     return RetryVerdict::DeadlineTooNear;
   return RetryVerdict::Retry;
 }
--- a/Hemlockglade/Coordination/Retry/RetryPolicy.h
+++ b/Hemlockglade/Coordination/Retry/RetryPolicy.h
@@ -6,26 +6,26 @@
 
 namespace hemlockglade {
 
-/// How far a request had come when it failed.
+/// The state of a request when an attempt failed.
 struct FailedAttempt {
   /// The request may run more than once.
   bool Repeatable = true;
   Outcome How = Outcome::Unknown;
-  /// A byte of an answer went to the caller.
+  /// A byte of an answer was sent to the caller.
   bool FirstBytePassed = false;
   /// Attempts so far, the first included.
   std::uint32_t Attempts = 1;
   Instant Deadline{};
 };
 
-/// Why a request is tried again or not.
+/// Whether a request is retried, or why not.
 enum class RetryVerdict : std::uint8_t {
   Retry,
-  /// The request is over: nothing to try again.
+  /// The request is complete: there is nothing to retry.
   Complete,
   /// It may have run, and must not run twice.
   NotRepeatable,
-  /// The caller has part of an answer; another attempt's may differ.
+  /// The caller has part of an answer; that of another attempt may differ.
   AnswerBegun,
   DeadlineTooNear,
   AttemptsSpent,
@@ -33,36 +33,39 @@
   BudgetSpent,
 };
 
-/// Bounds of retries.
+/// Limits of retries.
 struct RetryPolicySettings {
-  /// Attempts of one request at most, the first included.
+  /// Maximum attempts of one request, the first included.
   std::uint32_t MaxAttempts = 3;
   /// Retries for each first attempt, on average.
   double BudgetShare = 0.1;
-  /// Retries that may be saved up in quiet times.
+  /// Maximum number of retries that the budget accumulates.
   double BudgetBurst = 20;
-  /// Retries a second that are allowed however little traffic there is.
+  /// Retries per second that are allowed however little traffic there is.
   double FloorPerSecond = 0.5;
-  /// Time an attempt needs at least; with less left none is made.
-  Span LeastAttempt = std::chrono::milliseconds(50);
+  /// Minimum time for an attempt; with less left until the deadline none is
+  /// made.
+  Span MinAttemptTime = std::chrono::milliseconds(50);
 };
 
-/// Decides whether a failed request is tried again. Retries are bounded as a
-/// share of traffic, so that a failure of many requests can't multiply the
-/// load. Time comes with the calls. Safe to call from several threads.
+/// Decides whether a failed request is retried. Retries are limited to a share
+/// of traffic, so that a failure of many requests can't multiply the load. Time
+/// is passed in. Safe to call from several threads.
 class RetryPolicy {
 public:
   explicit RetryPolicy(const RetryPolicySettings &settings);
 
-  /// A request's first attempt begins.
+  /// Called when the first attempt of a request begins; adds `BudgetShare` to
+  /// the budget.
   void onFirstAttempt();
-  /// Whether to try again now; `Retry` takes one retry from the budget.
+  /// Decides whether to retry now; `Retry` takes one retry from the budget.
   RetryVerdict decide(const FailedAttempt &attempt, Instant now);
-  /// Retries that the budget has left.
+  /// Returns the retries that are left in the budget.
   double budget() const;
 
 private:
-  RetryVerdict judge(const FailedAttempt &attempt, Instant now) const;
+  /// Decides by the attempt alone, without the budget.
+  RetryVerdict checkAttempt(const FailedAttempt &attempt, Instant now) const;
 
   const RetryPolicySettings Settings;
 
--- a/UnitTests/Coordination/Retry/PendingAdmissionsTest.cpp
+++ b/UnitTests/Coordination/Retry/PendingAdmissionsTest.cpp
@@ -9,18 +9,19 @@
 
 const std::string Cell = "assistant/0";
 
-/// One asking of an owner, and what came of it.
-struct AskBench {
-  AskBench() {
-    Ticket = Asks.add(Cell, "owner:1", Instant(20s),
-                      [this](AdmissionFailure it) { Failures.push_back(it); });
+/// One request for admission that waits for its owner, and its failures.
+struct AdmissionFixture {
+  AdmissionFixture() {
+    Ticket =
+        Admissions.add(Cell, "owner:1", Instant(20s),
+                       [this](AdmissionFailure it) { Failures.push_back(it); });
   }
 
   void tick(Instant now) {
-    Asks.tick(now, [this](const std::string &) { return Owner; });
+    Admissions.tick(now, [this](const std::string &) { return Owner; });
   }
 
-  PendingAdmissions Asks;
+  PendingAdmissions Admissions;
   PendingAdmissions::Ticket Ticket = 0;
   std::string Owner = "owner:1";
   std::vector<AdmissionFailure> Failures;
@@ -28,41 +29,41 @@
 
 } // namespace
 
-TEST_CASE("an owner that answers nothing is waited for until its cell has "
-          "another",
+TEST_CASE("a wait for an owner that does not answer ends when its cell has "
+          "another owner or none",
           "[asks]") {
-  AskBench bench;
-  bench.tick(Instant(10s));
-  REQUIRE(bench.Failures.empty());
-  bench.Owner = GENERATE("", "heir:1");
-  bench.tick(Instant(11s));
-  bench.tick(Instant(30s));
-  REQUIRE(bench.Failures == std::vector{AdmissionFailure::OwnerChanged});
+  AdmissionFixture fixture;
+  fixture.tick(Instant(10s));
+  REQUIRE(fixture.Failures.empty());
+  fixture.Owner = GENERATE("", "owner:2");
+  fixture.tick(Instant(11s));
+  fixture.tick(Instant(30s));
+  REQUIRE(fixture.Failures == std::vector{AdmissionFailure::OwnerChanged});
 }
 
-TEST_CASE("no owner is waited for past the deadline", "[asks]") {
-  AskBench bench;
-  bench.tick(Instant(20s) - Span(1));
-  REQUIRE(bench.Failures.empty());
-  bench.tick(Instant(20s));
-  bench.tick(Instant(21s));
-  REQUIRE(bench.Failures == std::vector{AdmissionFailure::DeadlinePassed});
+TEST_CASE("a wait for an owner ends at the deadline", "[asks]") {
+  AdmissionFixture fixture;
+  fixture.tick(Instant(20s) - Span(1));
+  REQUIRE(fixture.Failures.empty());
+  fixture.tick(Instant(20s));
+  fixture.tick(Instant(21s));
+  REQUIRE(fixture.Failures == std::vector{AdmissionFailure::DeadlinePassed});
 }
 
-TEST_CASE("an answered asking does not fail, one made meanwhile may",
+TEST_CASE("an answered request does not fail, one added by a callback may",
           "[asks]") {
-  AskBench bench;
-  bench.Asks.remove(bench.Ticket);
-  bool again = false;
-  bench.Asks.add(Cell, "owner:1", Instant(5s), [&](AdmissionFailure) {
-    bench.Asks.add(Cell, "heir:1", Instant(20s),
-                   [&](AdmissionFailure) { again = true; });
+  AdmissionFixture fixture;
+  fixture.Admissions.remove(fixture.Ticket);
+  bool secondFailed = false;
+  fixture.Admissions.add(Cell, "owner:1", Instant(5s), [&](AdmissionFailure) {
+    fixture.Admissions.add(Cell, "owner:2", Instant(20s),
+                           [&](AdmissionFailure) { secondFailed = true; });
   });
-  bench.Owner = "heir:1";
-  bench.tick(Instant(1s));
-  bench.tick(Instant(2s));
-  REQUIRE_FALSE(again);
-  bench.tick(Instant(20s));
-  REQUIRE(again);
-  REQUIRE(bench.Failures.empty());
+  fixture.Owner = "owner:2";
+  fixture.tick(Instant(1s));
+  fixture.tick(Instant(2s));
+  REQUIRE_FALSE(secondFailed);
+  fixture.tick(Instant(20s));
+  REQUIRE(secondFailed);
+  REQUIRE(fixture.Failures.empty());
 }
--- a/UnitTests/Coordination/Retry/RetryTest.cpp
+++ b/UnitTests/Coordination/Retry/RetryTest.cpp
@@ -5,18 +5,19 @@
 using namespace hemlockglade::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("the outcome says not-run only if nothing can have run", "[retry]") {
+TEST_CASE("the outcome is not-run only if nothing can have run", "[retry]") {
   for (int it = 0; it < 16; ++it) {
-    AttemptObservation seen{(it & 1) != 0, (it & 2) != 0, (it & 4) != 0,
-                            (it & 8) != 0};
-    auto outcome = outcomeOf(seen);
-    bool refused = seen.RefusedBeforeRunning && seen.AnswerWhole;
-    REQUIRE((outcome == Outcome::NotRun) == (!seen.MayHaveSent || refused));
-    REQUIRE(
-        (outcome == Outcome::Complete) ==
-        (seen.MayHaveSent && !refused && seen.AnswerWhole && seen.PassedWhole));
+    AttemptObservation observation{(it & 1) != 0, (it & 2) != 0, (it & 4) != 0,
+                                   (it & 8) != 0};
+    auto outcome = outcomeOf(observation);
+    bool refused = observation.RefusedBeforeRunning && observation.AnswerWhole;
+    REQUIRE((outcome == Outcome::NotRun) ==
+            (!observation.MayHaveSent || refused));
+    REQUIRE((outcome == Outcome::Complete) ==
+            (observation.MayHaveSent && !refused && observation.AnswerWhole &&
+             observation.PassedWhole));
   }
-  // One attempt that may have run decides for the whole request.
+  // One attempt that may have run determines the outcome of the request.
   for (auto earlier : {Outcome::NotRun, Outcome::Unknown}) {
     REQUIRE(outcomeAfter(earlier, Outcome::Complete) == Outcome::Complete);
     REQUIRE(outcomeAfter(earlier, Outcome::Unknown) == Outcome::Unknown);
@@ -24,7 +25,7 @@
   }
 }
 
-TEST_CASE("which failures are tried again", "[retry]") {
+TEST_CASE("failures that are retried and failures that are not", "[retry]") {
   RetryPolicySettings settings;
   settings.BudgetBurst = 1000;
   RetryPolicy policy(settings);
@@ -49,7 +50,8 @@
   REQUIRE(with([&](auto &it) { it.Deadline = now - 1s; }) == DeadlineTooNear);
 }
 
-TEST_CASE("retries stay a share of traffic however many fail", "[retry]") {
+TEST_CASE("retries stay within a share of traffic however many requests fail",
+          "[retry]") {
   bool bounded = GENERATE(true, false);
   REQUIRE(checkMany("retry budgets", 1000, [bounded] {
     RetryPolicySettings settings;
@@ -62,24 +64,24 @@
     Instant start = 100s;
     Instant now = start;
     FailedAttempt attempt{true, Outcome::Unknown, false, 1, 1h};
-    // The first decision fills the budget for all time before it.
+    // The first decision refills the budget for all the time before it.
     policy.decide(attempt, start);
-    double firsts = 0;
+    double firstAttempts = 0;
     double retries = 0;
     for (const auto &[first, wait] : steps) {
       now += std::chrono::milliseconds(wait);
       for (int it = 0; it < 10; ++it) {
         if (first)
           policy.onFirstAttempt();
-        firsts += first;
+        firstAttempts += first;
         retries += policy.decide(attempt, now) == RetryVerdict::Retry;
       }
     }
     double seconds = std::chrono::duration<double>(now - start).count();
-    double most = 20 + firsts * settings.BudgetShare +
-                  seconds * settings.FloorPerSecond + 1;
+    double maxRetries = 20 + firstAttempts * settings.BudgetShare +
+                        seconds * settings.FloorPerSecond + 1;
     if (bounded)
-      RC_ASSERT(retries <= most);
+      RC_ASSERT(retries <= maxRetries);
     else
       RC_ASSERT(retries == 10.0 * steps.size());
   }));
