--- a/Hemlockglade/Coordination/Claim/ClaimRow.cpp
+++ b/Hemlockglade/Coordination/Claim/ClaimRow.cpp
@@ -45,7 +45,7 @@
   return node.dump();
 }
 
-std::optional<ClaimRow> ClaimRow::read(const std::string &text) {
+std::optional<ClaimRow> ClaimRow::parse(const std::string &text) {
   auto node = json::parse(text, nullptr, false);
   if (!node.is_object())
     return std::nullopt;
--- a/Hemlockglade/Coordination/Claim/ClaimStore.cpp
+++ b/Hemlockglade/Coordination/Claim/ClaimStore.cpp
@@ -21,51 +21,52 @@
   {
     std::lock_guard lock(Mutex);
     ++Counts.Claims;
-    attempt->Value.Attempt = nextAttempt();
+    attempt->Value.Attempt = nextAttemptId();
     auto [it, added] = InFlight.try_emplace(attempt->Row);
     if (!added) {
       it->second.push_back(attempt);
       return;
     }
   }
-  send(attempt);
+  sendClaim(attempt);
 }
 
-void ClaimStore::send(const AttemptPtr &attempt) {
-  ++attempt->Tries;
+void ClaimStore::sendClaim(const AttemptPtr &attempt) {
+  ++attempt->TimesSent;
   TableWrite write{attempt->Row, attempt->Expected, attempt->Value.text()};
   auto done = [self = shared_from_this(), attempt](auto result) {
-    self->onSent(attempt, result);
+    self->onClaimSent(attempt, result);
   };
-  if (attempt->Tries < Settings.Tries)
+  if (attempt->TimesSent < Settings.MaxAttempts)
     return Claims->add(std::move(write), std::move(done));
-  // The last try goes alone, so that no other claim's conflict can fail it.
+  // The last write is sent alone, so that a conflict of another claim can't
+  // fail it.
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
-    transaction.AttemptId = nextAttempt();
+    transaction.AttemptId = nextAttemptId();
     ++Counts.Transactions;
   }
   transaction.Writes.push_back(std::move(write));
   Table.Commit(std::move(transaction), std::move(done));
 }
 
-void ClaimStore::onSent(const AttemptPtr &attempt,
-                        tl::expected<std::uint64_t, TableError> result) {
+void ClaimStore::onClaimSent(const AttemptPtr &attempt,
+                             tl::expected<std::uint64_t, TableError> result) {
   if (result) {
     ClaimAnswer answer;
     answer.Result = ClaimResult::Claimed;
     answer.Ticket.Version = attempt->Expected + 1;
-    return finish(attempt, std::move(answer));
+    return finishClaim(attempt, std::move(answer));
   }
   if (result.error() == TableError::NotSent && !attempt->MayBeWritten) {
     ClaimAnswer answer;
     answer.Result = ClaimResult::StoreUnavailable;
-    return finish(attempt, std::move(answer));
+    return finishClaim(attempt, std::move(answer));
   }
   if (result.error() == TableError::Ambiguous)
     attempt->MayBeWritten = true;
-  // On a conflict any row of the group may be the cause.
+  // On a conflict the cause may be any row of the group.
   readBack(attempt);
 }
 
@@ -80,41 +81,41 @@
     ClaimAnswer answer;
     answer.Result = attempt->MayBeWritten ? ClaimResult::Ambiguous
                                           : ClaimResult::StoreUnavailable;
-    self->finish(attempt, std::move(answer));
+    self->finishClaim(attempt, std::move(answer));
   });
 }
 
 void ClaimStore::onReadBack(const AttemptPtr &attempt,
                             const std::optional<TableRow> &row) {
   ClaimAnswer answer;
-  auto value = row ? ClaimRow::read(row->Value) : std::nullopt;
+  auto value = row ? ClaimRow::parse(row->Value) : std::nullopt;
   if (value && value->Attempt == attempt->Value.Attempt) {
     answer.Result = ClaimResult::Claimed;
     answer.Ticket.Version = row->Version;
-    return finish(attempt, std::move(answer));
+    return finishClaim(attempt, std::move(answer));
   }
-  bool free = !row || (value && value->Recorded == Outcome::NotRun &&
-                       value->BodyHash == attempt->Value.BodyHash);
-  if (free) {
-    // An earlier write of this claim may still come first: the row then has
-    // this claim's attempt id, whichever of its writes it was.
+  bool isFree = !row || (value && value->Recorded == Outcome::NotRun &&
+                         value->BodyHash == attempt->Value.BodyHash);
+  if (isFree) {
+    // An earlier write of this claim may still take effect before the next one.
+    // The row then has this claim's attempt id, whichever write it was.
     attempt->Expected = row ? row->Version : 0;
-    if (attempt->Tries < Settings.Tries)
-      return send(attempt);
+    if (attempt->TimesSent < Settings.MaxAttempts)
+      return sendClaim(attempt);
     answer.Result = attempt->MayBeWritten ? ClaimResult::Ambiguous
                                           : ClaimResult::StoreUnavailable;
-    return finish(attempt, std::move(answer));
+    return finishClaim(attempt, std::move(answer));
   }
-  bool otherBody = value && value->BodyHash != attempt->Value.BodyHash;
-  answer.Result = otherBody ? ClaimResult::OtherBody : ClaimResult::Taken;
+  bool hasOtherBody = value && value->BodyHash != attempt->Value.BodyHash;
+  answer.Result = hasOtherBody ? ClaimResult::OtherBody : ClaimResult::Taken;
   if (value) {
     answer.RequestId = value->RequestId;
     answer.Recorded = value->Recorded.value_or(Outcome::Unknown);
   }
-  finish(attempt, std::move(answer));
+  finishClaim(attempt, std::move(answer));
 }
 
-void ClaimStore::finish(const AttemptPtr &attempt, ClaimAnswer answer) {
+void ClaimStore::finishClaim(const AttemptPtr &attempt, ClaimAnswer answer) {
   answer.Ticket.Row = attempt->Row;
   answer.Ticket.Attempt = attempt->Value.Attempt;
   answer.Ticket.BodyHash = attempt->Value.BodyHash;
@@ -133,7 +134,7 @@
   }
   attempt->Done(std::move(answer));
   if (next)
-    send(next);
+    sendClaim(next);
 }
 
 void ClaimStore::record(const ClaimTicket &ticket, Outcome outcome) {
@@ -142,21 +143,21 @@
   record->Expected = ticket.Version;
   record->Value = {ticket.Attempt, ticket.RequestId, ticket.BodyHash,
                    ticket.ClaimedAtMs, outcome};
-  bool full = false;
+  bool isFull = false;
   {
     std::lock_guard lock(Mutex);
-    full = Recording >= Settings.OutcomeBacklog;
-    if (full)
+    isFull = PendingRecords >= Settings.OutcomeBacklog;
+    if (isFull)
       ++Counts.OutcomesDropped;
     else
-      ++Recording;
+      ++PendingRecords;
   }
-  if (!full)
+  if (!isFull)
     sendRecord(record);
 }
 
 void ClaimStore::sendRecord(const RecordPtr &record) {
-  ++record->Tries;
+  ++record->TimesSent;
   Records->add({record->Row, record->Expected, record->Value.text()},
                [self = shared_from_this(), record](auto result) {
                  self->onRecordSent(record, result);
@@ -166,7 +167,7 @@
 void ClaimStore::onRecordSent(const RecordPtr &record,
                               tl::expected<std::uint64_t, TableError> result) {
   if (result)
-    return endRecord(false);
+    return finishRecord(false);
   if (result.error() == TableError::Conflict)
     return readRecord(record);
   retryRecord(record);
@@ -180,27 +181,27 @@
   Table.Get(record->Row, [self = shared_from_this(), record](auto row) {
     if (!row)
       return self->retryRecord(record);
-    auto value = *row ? ClaimRow::read((*row)->Value) : std::nullopt;
-    bool ours = value && value->Attempt == record->Value.Attempt;
-    if (!ours || value->Recorded)
-      return self->endRecord(!ours);
+    auto value = *row ? ClaimRow::parse((*row)->Value) : std::nullopt;
+    bool isOwn = value && value->Attempt == record->Value.Attempt;
+    if (!isOwn || value->Recorded)
+      return self->finishRecord(!isOwn);
     record->Expected = (*row)->Version;
     self->retryRecord(record);
   });
 }
 
 void ClaimStore::retryRecord(const RecordPtr &record) {
-  if (record->Tries >= Settings.Tries)
-    return endRecord(true);
+  if (record->TimesSent >= Settings.MaxAttempts)
+    return finishRecord(true);
   Hooks.After(Settings.OutcomeRetry, [self = weak_from_this(), record] {
-    if (auto book = self.lock())
-      book->sendRecord(record);
+    if (auto store = self.lock())
+      store->sendRecord(record);
   });
 }
 
-void ClaimStore::endRecord(bool dropped) {
+void ClaimStore::finishRecord(bool dropped) {
   std::lock_guard lock(Mutex);
-  --Recording;
+  --PendingRecords;
   Counts.OutcomesDropped += dropped;
 }
 
@@ -220,18 +221,18 @@
   Table.Scan(std::string(ClaimRow::Prefix) + digits,
              [self = shared_from_this()](auto rows) {
                if (rows)
-                 self->removeOld(*rows);
+                 self->removeExpired(*rows);
              });
 }
 
-void ClaimStore::removeOld(const std::vector<TableRow> &rows) {
-  auto keep =
-      std::chrono::duration_cast<std::chrono::milliseconds>(Settings.Keep);
-  auto until = Hooks.WallMs() - keep.count();
+void ClaimStore::removeExpired(const std::vector<TableRow> &rows) {
+  auto retention =
+      std::chrono::duration_cast<std::chrono::milliseconds>(Settings.Retention);
+  auto cutoff = Hooks.WallMs() - retention.count();
   TableTransaction transaction;
   for (const auto &row : rows) {
-    auto value = ClaimRow::read(row.Value);
-    if (!value || value->ClaimedAtMs >= until)
+    auto value = ClaimRow::parse(row.Value);
+    if (!value || value->ClaimedAtMs >= cutoff)
       continue;
     transaction.Writes.push_back({row.Key, row.Version, std::nullopt});
     if (transaction.Writes.size() >= Settings.CleanupBatch)
@@ -242,7 +243,7 @@
   auto removed = transaction.Writes.size();
   {
     std::lock_guard lock(Mutex);
-    transaction.AttemptId = nextAttempt();
+    transaction.AttemptId = nextAttemptId();
     ++Counts.Transactions;
   }
   Table.Commit(std::move(transaction),
@@ -259,8 +260,8 @@
   return out;
 }
 
-std::string ClaimStore::nextAttempt() {
-  return Name + '/' + std::to_string(++Attempts);
+std::string ClaimStore::nextAttemptId() {
+  return Name + '/' + std::to_string(++LastAttempt);
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Claim/ClaimTypes.h
+++ b/Hemlockglade/Coordination/Claim/ClaimTypes.h
@@ -4,23 +4,24 @@
 
 namespace hemlockglade {
 
-/// A request that must not repeat, as its caller names it.
+/// A request that must not run twice, and the key that its caller gave it.
 struct ClaimRequest {
   /// Keys of different scopes, such as services, are different keys.
   std::string Scope;
   /// The caller's idempotency key; any bytes.
   std::string Key;
-  /// The request's body, or whatever must be the same for the same key.
+  /// The request's body, or other content that must be the same for the same
+  /// key.
   std::string_view Body;
   std::string RequestId;
 };
 
-/// Names a claim that was won, for recording its outcome.
+/// Identifies a successful claim, for recording its outcome.
 struct ClaimTicket {
   std::string Row;
   std::uint64_t Version = 0;
   std::string Attempt;
-  /// The row's text but for its outcome.
+  /// The other fields of the row, except its outcome.
   std::string BodyHash;
   std::string RequestId;
   std::int64_t ClaimedAtMs = 0;
@@ -33,50 +34,53 @@
   Taken,
   /// The key was used with another body: the caller's error.
   OtherBody,
-  /// The claim was not written and won't be: refuse as not run.
+  /// The claim was not written and won't be: the request is refused as not run.
   StoreUnavailable,
-  /// The claim may have been written: unknown, and not to be run.
+  /// The claim may have been written: the outcome is unknown, and the request
+  /// must not be run.
   Ambiguous,
 };
 
 /// The answer to a claim.
 struct ClaimAnswer {
   ClaimResult Result = ClaimResult::Ambiguous;
-  /// With `Claimed`.
+  /// Valid with `Claimed`.
   ClaimTicket Ticket;
-  /// With `Taken`; `Unknown` while the other request runs.
+  /// Valid with `Taken`; `Unknown` while the other request runs.
   Outcome Recorded = Outcome::Unknown;
-  /// With `Taken` and `OtherBody`: the request that has the key.
+  /// Valid with `Taken` and `OtherBody`: id of the request that has the key.
   std::string RequestId;
 };
 
-/// Times and bounds of claims.
+/// Times and limits of claims.
 struct ClaimSettings {
   GroupSettings Group;
-  /// How long a key is remembered.
-  Span Keep = std::chrono::hours(24);
-  /// Times that a claim or an outcome is sent before it is given up.
-  int Tries = 3;
-  /// Wait before an outcome is sent again.
+  /// How long the row of a key is kept.
+  Span Retention = std::chrono::hours(24);
+  /// Maximum number of times that a claim or an outcome is written.
+  int MaxAttempts = 3;
+  /// Delay before the write of an outcome is retried.
   Span OutcomeRetry = std::chrono::seconds(1);
-  /// Outcomes that may wait to be sent again; more are dropped.
+  /// Maximum number of outcomes that are not recorded yet; further ones are
+  /// dropped.
   std::size_t OutcomeBacklog = 1000;
-  /// Hexadecimal digits that name a slice of the rows in cleaning up.
+  /// Number of hexadecimal digits that identify a slice of the rows in cleanup.
   unsigned SliceDigits = 3;
-  /// Most rows that one cleaning removes.
+  /// Maximum number of rows that one cleanup removes.
   std::size_t CleanupBatch = 16;
 };
 
-/// What a claim book needs of its driver.
+/// Callbacks that a claim store needs.
 struct ClaimHooks {
-  /// Milliseconds since 1970. Compared between nodes, but only for the age of
-  /// old rows: errors must be small against ClaimSettings::Keep.
+  /// Returns milliseconds since 1970. Values are compared between nodes, but
+  /// only for the age of rows: clock errors must be small against
+  /// ClaimSettings::Retention.
   std::function<std::int64_t()> WallMs;
-  /// Calls back after a span of time.
+  /// Calls `call` after `delay`.
   std::function<void(Span delay, std::function<void()> call)> After;
 };
 
-/// Work of one claim book since its start.
+/// Operations of one claim store since its start.
 struct ClaimCounts {
   std::uint64_t Transactions = 0;
   std::uint64_t Reads = 0;
--- a/Hemlockglade/Coordination/Claim/GroupCommit.cpp
+++ b/Hemlockglade/Coordination/Claim/GroupCommit.cpp
@@ -17,7 +17,7 @@
   };
   {
     std::lock_guard lock(Mutex);
-    // A transaction can't write a row twice.
+    // A transaction can't write the same row twice.
     if (Open.Keys.contains(write.Key))
       close();
     first = Open.Done.empty();
@@ -41,7 +41,7 @@
   Group group;
   {
     std::lock_guard lock(Mutex);
-    // The group was full before its time.
+    // The group was full before the window ended.
     if (number != Number || Open.Done.empty())
       return;
     Open.Transaction.AttemptId = Name + '/' + std::to_string(Number++);
--- a/Hemlockglade/Coordination/Claim/GroupCommit.h
+++ b/Hemlockglade/Coordination/Claim/GroupCommit.h
@@ -9,32 +9,33 @@
 
 namespace hemlockglade {
 
-/// When a group of writes is sent.
+/// Limits that close a group of writes.
 struct GroupSettings {
-  /// Longest wait of the first write for others.
+  /// Maximum time that the first write of a group waits for others.
   Span Window = std::chrono::milliseconds(2);
-  /// Most writes of a transaction.
+  /// Maximum number of writes in a transaction.
   std::size_t Limit = 32;
 };
 
-/// What group commits need of their driver.
+/// Callbacks that a group commit needs.
 struct GroupHooks {
-  /// Calls back after a span of time.
+  /// Calls `call` after `delay`.
   std::function<void(Span delay, std::function<void()> call)> After;
 };
 
-/// Puts writes of a short time into one transaction. Each write learns the
-/// transaction's end: on a conflict or without an answer its own row must be
-/// read to know more. Safe to call from several threads.
+/// Combines writes that arrive within a short time into one transaction. Each
+/// write gets the result of the transaction: after a conflict or a lost answer,
+/// its own row must be read to know whether it was written. Safe to call from
+/// several threads.
 class GroupCommit : public std::enable_shared_from_this<GroupCommit> {
 public:
-  /// `name` must differ from that of each other group of the deployment.
+  /// `name` must be unique among all group commits of the deployment.
   GroupCommit(const GroupSettings &settings, std::string name, TableHooks table,
               GroupHooks hooks);
 
-  /// Adds a write; `done` when its transaction has ended.
+  /// Adds a write. `done` is called with the result of its transaction.
   void add(TableWrite write, TableCallback<std::uint64_t> done);
-  /// Transactions sent since the start.
+  /// Returns the number of transactions sent since the start.
   std::uint64_t sent() const;
 
 private:
--- a/UnitTests/Coordination/Claim/ClaimFiguresTest.cpp
+++ b/UnitTests/Coordination/Claim/ClaimFiguresTest.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Table operations for each claim with its outcome.
+/// Table operations per claim with its outcome.
 struct ClaimCost {
   double Writes = 0;
   double Reads = 0;
 };
 
-/// A node with `perSecond` claims a second, each run for 20 ms; a part of them
-/// with a key that was used before.
-ClaimCost costOf(Span window, double perSecond, int repeatEvery) {
+/// Simulates a node with `perSecond` claims per second, whose requests run for
+/// 20 ms each. Every `reuseInterval`-th claim uses an earlier key; none if 0.
+ClaimCost costOf(Span window, double perSecond, int reuseInterval) {
   VirtualTime time;
   FakeTable table(time, 1);
   ClaimSettings settings;
@@ -28,16 +28,16 @@
   hooks.After = [&](Span delay, std::function<void()> call) {
     time.after(delay, std::move(call));
   };
-  auto book =
+  auto store =
       std::make_shared<ClaimStore>(settings, "n1", table.hooks(), hooks);
   constexpr int count = 2000;
   for (int it = 0; it < count; ++it) {
-    bool repeat = repeatEvery && it % repeatEvery == repeatEvery - 1;
-    auto key = std::to_string(repeat ? it - repeatEvery / 2 : it);
-    book->claim({"labels", key, "body", key}, [&](const ClaimAnswer &answer) {
+    bool reused = reuseInterval && it % reuseInterval == reuseInterval - 1;
+    auto key = std::to_string(reused ? it - reuseInterval / 2 : it);
+    store->claim({"labels", key, "body", key}, [&](const ClaimAnswer &answer) {
       if (answer.Result == ClaimResult::Claimed)
         time.after(20ms, [&, answer] {
-          book->record(answer.Ticket, Outcome::Complete);
+          store->record(answer.Ticket, Outcome::Complete);
         });
     });
     time.advance(Span(static_cast<std::int64_t>(1e6 / perSecond)));
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("group commit bounds the writes a claim costs", "[claim]") {
+TEST_CASE("group commit limits the writes per claim", "[claim]") {
   REQUIRE(costOf(2ms, 10, 0).Writes <= 2.0);
   auto busy = costOf(10ms, 2000, 0);
   REQUIRE(busy.Writes <= 0.13);
@@ -60,11 +60,11 @@
 TEST_CASE("figures of the claims", "[.figures]") {
   for (Span window : {Span(2ms), Span(10ms), Span(50ms)}) {
     for (double rate : {10.0, 100.0, 500.0, 2000.0}) {
-      for (int repeat : {0, 50}) {
-        auto it = costOf(window, rate, repeat);
+      for (int reused : {0, 50}) {
+        auto it = costOf(window, rate, reused);
         std::printf("window %3d ms claims/s %5.0f repeats 1/%-3d writes %.3f "
                     "reads %.3f\n",
-                    static_cast<int>(window.count() / 1000), rate, repeat,
+                    static_cast<int>(window.count() / 1000), rate, reused,
                     it.Writes, it.Reads);
       }
     }
--- a/UnitTests/Coordination/Claim/ClaimStoreTest.cpp
+++ b/UnitTests/Coordination/Claim/ClaimStoreTest.cpp
@@ -10,13 +10,13 @@
 
 constexpr int Schedules = 3000;
 
-/// Some nodes' claim books on one fake table.
-class ClaimBench {
+/// The claim stores of three nodes on one fake table.
+class ClaimFixture {
 public:
-  explicit ClaimBench(std::uint64_t seed, ClaimSettings settings = {})
+  explicit ClaimFixture(std::uint64_t seed, ClaimSettings settings = {})
       : Table(Time, seed), Settings(settings) {
     for (int it = 0; it < 3; ++it)
-      Books.push_back(start());
+      Stores.push_back(start());
   }
 
   std::shared_ptr<ClaimStore> start() {
@@ -25,23 +25,23 @@
     hooks.After = [this](Span delay, std::function<void()> call) {
       Time.after(delay, std::move(call));
     };
-    return std::make_shared<ClaimStore>(Settings, "n" + std::to_string(++Named),
-                                        tableHooks(), hooks);
+    return std::make_shared<ClaimStore>(
+        Settings, "n" + std::to_string(++StartCount), tableHooks(), hooks);
   }
 
-  /// Claims and answers at once with what comes back.
-  void claim(std::size_t book, const std::string &key,
+  /// Claims a key; `done` gets the answer.
+  void claim(std::size_t store, const std::string &key,
              std::function<void(ClaimAnswer)> done,
              std::string_view body = "body") {
     auto id = "r" + std::to_string(++Requests);
-    Books[book]->claim({"labels", key, body, id}, std::move(done));
+    Stores[store]->claim({"labels", key, body, id}, std::move(done));
   }
 
-  ClaimAnswer claimNow(std::size_t book, const std::string &key,
+  ClaimAnswer claimNow(std::size_t store, const std::string &key,
                        std::string_view body = "body") {
     std::optional<ClaimAnswer> out;
     claim(
-        book, key, [&](ClaimAnswer it) { out = std::move(it); }, body);
+        store, key, [&](ClaimAnswer it) { out = std::move(it); }, body);
     Time.advance(60s);
     REQUIRE(out);
     return *out;
@@ -50,9 +50,9 @@
   VirtualTime Time;
   FakeTable Table;
   ClaimSettings Settings;
-  /// Whether reads of single rows are answered.
-  bool ReadBack = true;
-  std::vector<std::shared_ptr<ClaimStore>> Books;
+  /// Whether reads of single rows are answered; otherwise they fail.
+  bool AnswerReads = true;
+  std::vector<std::shared_ptr<ClaimStore>> Stores;
   int Requests = 0;
 
 private:
@@ -60,7 +60,7 @@
     auto hooks = Table.hooks();
     auto get = hooks.Get;
     hooks.Get = [this, get](const std::string &key, auto done) {
-      if (ReadBack)
+      if (AnswerReads)
         return get(key, done);
       Time.after(Span(1),
                  [done] { done(tl::unexpected(TableError::Ambiguous)); });
@@ -68,72 +68,76 @@
     return hooks;
   }
 
-  int Named = 0;
+  int StartCount = 0;
 };
 
+/// One claim of a schedule.
 struct ClaimStep {
-  std::size_t Book = 0;
+  std::size_t Store = 0;
   int Key = 0;
   int Body = 0;
   int WaitMs = 0;
-  int Ends = 0;
+  /// 0: recorded as complete. 1: recorded as not run. 2: not recorded. 3: not
+  /// recorded, and store 0 restarts before the claim if the claim is its own.
+  int Ending = 0;
 };
 
 std::ostream &operator<<(std::ostream &out, const ClaimStep &it) {
-  return out << it.Book << '/' << it.Key << '/' << it.Body << '/' << it.WaitMs
-             << '/' << it.Ends;
+  return out << it.Store << '/' << it.Key << '/' << it.Body << '/' << it.WaitMs
+             << '/' << it.Ending;
 }
 
 rc::Gen<ClaimStep> anyStep() {
   return rc::gen::build<ClaimStep>(
-      rc::gen::set(&ClaimStep::Book, anyIn<std::size_t>(0, 3)),
+      rc::gen::set(&ClaimStep::Store, anyIn<std::size_t>(0, 3)),
       rc::gen::set(&ClaimStep::Key, anyIn(0, 4)),
       rc::gen::set(&ClaimStep::Body,
                    rc::gen::weightedElement<int>({{9, 0}, {1, 1}})),
       rc::gen::set(&ClaimStep::WaitMs,
                    rc::gen::weightedElement<int>({{6, 0}, {2, 3}, {1, 900}})),
-      rc::gen::set(&ClaimStep::Ends, anyIn(0, 4)));
+      rc::gen::set(&ClaimStep::Ending, anyIn(0, 4)));
 }
 
-/// Runs a schedule; the first broken promise in words, or nothing.
-std::string play(ClaimBench &bench, const std::vector<ClaimStep> &steps) {
-  std::string broken;
+/// Runs a schedule. Returns a violated guarantee, or nothing.
+std::string runSchedule(ClaimFixture &fixture,
+                        const std::vector<ClaimStep> &steps) {
+  std::string violation;
   std::map<int, int> ran;
   std::map<std::string, std::string> refused;
   int answers = 0;
   for (const auto &step : steps) {
-    if (step.Ends == 3 && step.Book == 0)
-      bench.Books[0] = bench.start();
+    if (step.Ending == 3 && step.Store == 0)
+      fixture.Stores[0] = fixture.start();
     auto name = "key " + std::to_string(step.Key);
-    auto take = [&, step](const ClaimAnswer &it) {
+    auto onAnswer = [&, step](const ClaimAnswer &it) {
       ++answers;
       if (it.Result == ClaimResult::StoreUnavailable)
         refused.emplace(it.Ticket.Attempt, it.Ticket.Row);
       if (it.Result != ClaimResult::Claimed)
         return;
       if (ran[step.Key]++)
-        broken = "ran twice";
-      bench.Time.after(20ms, [&, step, it] {
-        if (step.Ends == 0)
-          bench.Books[step.Book]->record(it.Ticket, Outcome::Complete);
-        if (step.Ends != 1)
+        violation = "ran twice";
+      fixture.Time.after(20ms, [&, step, it] {
+        if (step.Ending == 0)
+          fixture.Stores[step.Store]->record(it.Ticket, Outcome::Complete);
+        if (step.Ending != 1)
           return;
         --ran[step.Key];
-        bench.Books[step.Book]->record(it.Ticket, Outcome::NotRun);
+        fixture.Stores[step.Store]->record(it.Ticket, Outcome::NotRun);
       });
     };
-    bench.claim(step.Book, name, take, step.Body ? "other" : "body");
-    bench.Time.advance(std::chrono::milliseconds(step.WaitMs));
+    fixture.claim(step.Store, name, onAnswer, step.Body ? "other" : "body");
+    fixture.Time.advance(std::chrono::milliseconds(step.WaitMs));
   }
-  bench.Time.advance(600s);
+  fixture.Time.advance(600s);
   if (answers != static_cast<int>(steps.size()))
-    broken = "a claim without an answer";
-  for (const auto &[key, row] : bench.Table.Rows) {
-    auto value = ClaimRow::read(row.Value);
+    violation = "a claim got no answer";
+  for (const auto &[key, row] : fixture.Table.Rows) {
+    auto value = ClaimRow::parse(row.Value);
     if (value && refused.contains(value->Attempt))
-      broken = "refused as not run, but the key is claimed";
+      violation = "refused as not run, but the key is claimed";
   }
-  return broken;
+  return violation;
 }
 
 TableFaults faultsOf(double p, Span delay) {
@@ -148,32 +152,34 @@
 
 } // namespace
 
-TEST_CASE("a key runs at most once whatever the table does", "[claim]") {
+TEST_CASE("a key runs at most once under any failures of the table",
+          "[claim]") {
   REQUIRE(checkMany("claim schedules", Schedules, [] {
     auto steps = *rc::gen::container<std::vector<ClaimStep>>(anyStep());
-    ClaimBench bench(*rc::gen::arbitrary<std::uint64_t>());
-    bench.Table.Faults = faultsOf(*rc::gen::element(0.0, 0.1, 0.4),
-                                  *rc::gen::element<Span>(5ms, 500ms));
-    auto broken = play(bench, steps);
-    if (!broken.empty())
-      RC_FAIL(broken);
+    ClaimFixture fixture(*rc::gen::arbitrary<std::uint64_t>());
+    fixture.Table.Faults = faultsOf(*rc::gen::element(0.0, 0.1, 0.4),
+                                    *rc::gen::element<Span>(5ms, 500ms));
+    auto violation = runSchedule(fixture, steps);
+    if (!violation.empty())
+      RC_FAIL(violation);
   }));
 }
 
 TEST_CASE("without compare-and-set a key runs twice", "[claim]") {
   bool on = GENERATE(true, false);
-  ClaimBench bench(1);
-  bench.Table.Compares = on;
+  ClaimFixture fixture(1);
+  fixture.Table.Compares = on;
   std::vector<ClaimStep> steps{{0, 1, 0, 0, 2}, {1, 1, 0, 0, 2}};
-  REQUIRE(play(bench, steps).empty() == on);
+  REQUIRE(runSchedule(fixture, steps).empty() == on);
 }
 
-TEST_CASE("the same key at two nodes at once is claimed by one", "[claim]") {
-  ClaimBench bench(7);
+TEST_CASE("a key that several nodes claim at once is claimed by one request",
+          "[claim]") {
+  ClaimFixture fixture(7);
   std::vector<ClaimAnswer> answers;
   for (std::size_t it = 0; it < 6; ++it)
-    bench.claim(it % 3, "k", [&](auto answer) { answers.push_back(answer); });
-  bench.Time.advance(10s);
+    fixture.claim(it % 3, "k", [&](auto answer) { answers.push_back(answer); });
+  fixture.Time.advance(10s);
   REQUIRE(answers.size() == 6);
   std::map<ClaimResult, int> results;
   std::string winner;
@@ -189,20 +195,20 @@
 }
 
 TEST_CASE("a second request gets the recorded outcome", "[claim]") {
-  ClaimBench bench(1);
-  auto first = bench.claimNow(0, "k");
+  ClaimFixture fixture(1);
+  auto first = fixture.claimNow(0, "k");
   REQUIRE(first.Result == ClaimResult::Claimed);
-  REQUIRE(bench.claimNow(1, "k").Recorded == Outcome::Unknown);
-  REQUIRE(bench.claimNow(1, "k", "x").Result == ClaimResult::OtherBody);
+  REQUIRE(fixture.claimNow(1, "k").Recorded == Outcome::Unknown);
+  REQUIRE(fixture.claimNow(1, "k", "x").Result == ClaimResult::OtherBody);
   auto outcome = GENERATE(Outcome::Complete, Outcome::Unknown, Outcome::NotRun);
-  bench.Books[0]->record(first.Ticket, outcome);
-  bench.Time.advance(1s);
-  auto second = bench.claimNow(1, "k");
+  fixture.Stores[0]->record(first.Ticket, outcome);
+  fixture.Time.advance(1s);
+  auto second = fixture.claimNow(1, "k");
   if (outcome == Outcome::NotRun) {
     REQUIRE(second.Result == ClaimResult::Claimed);
-    // The first one's ticket is worth nothing now.
-    bench.Books[0]->record(first.Ticket, Outcome::Complete);
-    REQUIRE(bench.claimNow(2, "k").Recorded == Outcome::Unknown);
+    // The ticket of the first claim is invalid now.
+    fixture.Stores[0]->record(first.Ticket, Outcome::Complete);
+    REQUIRE(fixture.claimNow(2, "k").Recorded == Outcome::Unknown);
   } else {
     REQUIRE(second.Result == ClaimResult::Taken);
     REQUIRE(second.Recorded == outcome);
@@ -210,112 +216,113 @@
   }
 }
 
-TEST_CASE("what the table's failures mean for a claim", "[claim]") {
-  ClaimBench bench(1);
-  SECTION("never sent: not run") {
-    bench.Table.Faults.NotSent = 1;
-    REQUIRE(bench.claimNow(0, "k").Result == ClaimResult::StoreUnavailable);
+TEST_CASE("results of claims under failures of the table", "[claim]") {
+  ClaimFixture fixture(1);
+  SECTION("write not sent: not run") {
+    fixture.Table.Faults.NotSent = 1;
+    REQUIRE(fixture.claimNow(0, "k").Result == ClaimResult::StoreUnavailable);
   }
-  SECTION("down: it may have been written") {
-    bench.Table.Down = true;
-    REQUIRE(bench.claimNow(0, "k").Result == ClaimResult::Ambiguous);
+  SECTION("table down: the claim may have been written") {
+    fixture.Table.Down = true;
+    REQUIRE(fixture.claimNow(0, "k").Result == ClaimResult::Ambiguous);
   }
-  SECTION("the answer lost after the change: ours only if read back") {
-    bench.ReadBack = GENERATE(true, false);
-    bench.Table.OnCommitted = [&](const auto &) {
-      bench.Table.Faults.LoseAnswer = 0;
+  SECTION("answer lost after the write: claimed only if the row can be read") {
+    fixture.AnswerReads = GENERATE(true, false);
+    fixture.Table.OnCommitted = [&](const auto &) {
+      fixture.Table.Faults.LoseAnswer = 0;
     };
-    bool ours = bench.ReadBack;
-    bench.Table.Faults.LoseAnswer = 1;
-    REQUIRE(bench.claimNow(0, "k").Result ==
-            (ours ? ClaimResult::Claimed : ClaimResult::Ambiguous));
-    bench.ReadBack = true;
-    REQUIRE(bench.claimNow(1, "k").Result == ClaimResult::Taken);
+    bool isOwn = fixture.AnswerReads;
+    fixture.Table.Faults.LoseAnswer = 1;
+    REQUIRE(fixture.claimNow(0, "k").Result ==
+            (isOwn ? ClaimResult::Claimed : ClaimResult::Ambiguous));
+    fixture.AnswerReads = true;
+    REQUIRE(fixture.claimNow(1, "k").Result == ClaimResult::Taken);
   }
 }
 
 TEST_CASE("a conflict of one claim does not fail its group", "[claim]") {
-  ClaimBench bench(1);
-  bench.Table.Faults.MaxDelay = 1us;
-  bench.claimNow(0, "k3");
-  auto before = bench.Books[1]->counts();
+  ClaimFixture fixture(1);
+  fixture.Table.Faults.MaxDelay = 1us;
+  fixture.claimNow(0, "k3");
+  auto before = fixture.Stores[1]->counts();
   std::map<int, ClaimResult> results;
   for (int it = 0; it < 8; ++it)
-    bench.claim(1, "k" + std::to_string(it),
-                [&, it](auto answer) { results[it] = answer.Result; });
-  bench.Time.advance(1s);
+    fixture.claim(1, "k" + std::to_string(it),
+                  [&, it](auto answer) { results[it] = answer.Result; });
+  fixture.Time.advance(1s);
   for (int it = 0; it < 8; ++it)
     REQUIRE(results[it] ==
             (it == 3 ? ClaimResult::Taken : ClaimResult::Claimed));
-  auto after = bench.Books[1]->counts();
+  auto after = fixture.Stores[1]->counts();
   REQUIRE(after.Transactions - before.Transactions == 2);
   REQUIRE(after.Reads - before.Reads == 8);
 }
 
 TEST_CASE("claims of a window share a transaction up to the limit", "[claim]") {
-  ClaimBench bench(1);
+  ClaimFixture fixture(1);
   int claimed = 0;
   for (int it = 0; it < 70; ++it)
-    bench.claim(0, std::to_string(it), [&](auto answer) {
+    fixture.claim(0, std::to_string(it), [&](auto answer) {
       claimed += answer.Result == ClaimResult::Claimed;
     });
-  bench.Time.advance(1s);
+  fixture.Time.advance(1s);
   REQUIRE(claimed == 70);
-  REQUIRE(bench.Books[0]->counts().Transactions == 3);
+  REQUIRE(fixture.Stores[0]->counts().Transactions == 3);
 }
 
-TEST_CASE("keys may hold anything and scopes keep them apart", "[claim]") {
+TEST_CASE("keys may contain any bytes, and scopes separate them", "[claim]") {
   std::set<std::string> rows;
-  std::string odd("\0/\xff\"", 4);
+  std::string oddKey("\0/\xff\"", 4);
   for (const std::string scope : {"", "a", "a:", "1:a"}) {
     for (const std::string &key :
-         {std::string(), odd, std::string("a"), std::string(5000, 'x')})
+         {std::string(), oddKey, std::string("a"), std::string(5000, 'x')})
       rows.insert(ClaimRow::keyOf(scope, key));
   }
   REQUIRE(rows.size() == 16);
   for (const auto &row : rows)
     REQUIRE(row.size() == ClaimRow::Prefix.size() + 64);
-  ClaimBench bench(1);
-  REQUIRE(bench.claimNow(0, odd, odd).Result == ClaimResult::Claimed);
-  REQUIRE(bench.claimNow(1, odd, odd).Result == ClaimResult::Taken);
+  ClaimFixture fixture(1);
+  REQUIRE(fixture.claimNow(0, oddKey, oddKey).Result == ClaimResult::Claimed);
+  REQUIRE(fixture.claimNow(1, oddKey, oddKey).Result == ClaimResult::Taken);
 }
 
-TEST_CASE("old claims are removed a few at a time, young ones never",
+TEST_CASE("expired claims are removed in small batches, recent ones are kept",
           "[claim]") {
   ClaimSettings settings;
-  settings.Keep = 1h;
+  settings.Retention = 1h;
   settings.SliceDigits = 1;
   settings.CleanupBatch = 4;
-  ClaimBench bench(1, settings);
+  ClaimFixture fixture(1, settings);
   for (int it = 0; it < 200; ++it)
-    bench.claim(0, "old " + std::to_string(it), [](auto) {});
-  bench.Time.advance(2h);
-  REQUIRE(bench.claimNow(0, "young").Result == ClaimResult::Claimed);
-  std::size_t rows = bench.Table.Rows.size();
+    fixture.claim(0, "old " + std::to_string(it), [](auto) {});
+  fixture.Time.advance(2h);
+  REQUIRE(fixture.claimNow(0, "young").Result == ClaimResult::Claimed);
+  std::size_t rows = fixture.Table.Rows.size();
   for (int it = 0; it < 400; ++it) {
     // Three nodes share the slices; together they reach each of them.
-    bench.Books[it % 3]->cleanUp(it % 3, 3);
-    bench.Time.advance(1s);
-    REQUIRE(rows - bench.Table.Rows.size() <= settings.CleanupBatch);
-    rows = bench.Table.Rows.size();
+    fixture.Stores[it % 3]->cleanUp(it % 3, 3);
+    fixture.Time.advance(1s);
+    REQUIRE(rows - fixture.Table.Rows.size() <= settings.CleanupBatch);
+    rows = fixture.Table.Rows.size();
   }
   REQUIRE(rows == 1);
-  REQUIRE(bench.claimNow(1, "young").Result == ClaimResult::Taken);
+  REQUIRE(fixture.claimNow(1, "young").Result == ClaimResult::Taken);
 }
 
-TEST_CASE("an outcome is sent again, and given up within bounds", "[claim]") {
+TEST_CASE("an outcome is written again, and dropped above the backlog",
+          "[claim]") {
   ClaimSettings settings;
   settings.OutcomeBacklog = 1;
-  ClaimBench bench(1, settings);
-  auto first = bench.claimNow(0, "k");
-  auto second = bench.claimNow(0, "l");
-  bench.Table.Faults.NotSent = 1;
-  bench.Books[0]->record(first.Ticket, Outcome::Complete);
-  bench.Books[0]->record(second.Ticket, Outcome::Complete);
-  REQUIRE(bench.Books[0]->counts().OutcomesDropped == 1);
-  bench.Time.advance(500ms);
-  bench.Table.Faults.NotSent = 0;
-  bench.Time.advance(2s);
-  REQUIRE(bench.claimNow(1, "k").Recorded == Outcome::Complete);
-  REQUIRE(bench.claimNow(1, "l").Recorded == Outcome::Unknown);
+  ClaimFixture fixture(1, settings);
+  auto first = fixture.claimNow(0, "k");
+  auto second = fixture.claimNow(0, "l");
+  fixture.Table.Faults.NotSent = 1;
+  fixture.Stores[0]->record(first.Ticket, Outcome::Complete);
+  fixture.Stores[0]->record(second.Ticket, Outcome::Complete);
+  REQUIRE(fixture.Stores[0]->counts().OutcomesDropped == 1);
+  fixture.Time.advance(500ms);
+  fixture.Table.Faults.NotSent = 0;
+  fixture.Time.advance(2s);
+  REQUIRE(fixture.claimNow(1, "k").Recorded == Outcome::Complete);
+  REQUIRE(fixture.claimNow(1, "l").Recorded == Outcome::Unknown);
 }
