--- a/Bench/Capacity/TableSlopes.cpp
+++ b/Bench/Capacity/TableSlopes.cpp
@@ -172,8 +172,8 @@
   writes.Unit = "writes";
   for (std::size_t cells : {10, 40, 80, 160}) {
     FigureFleet fleet(2, gossiping(Nodes, cells));
-    auto figures = fleet.lose(Going::Killed);
-    auto lost = static_cast<double>(fleet.Lost);
+    auto figures = fleet.measureFailover(Departure::Killed);
+    auto lost = static_cast<double>(fleet.CellsLost);
     reads.Points.push_back({lost, figures.Reads});
     writes.Points.push_back({lost, figures.Writes});
   }
--- a/Hemlockglade/Coordination/Lease/LeaseManager.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseManager.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// A renewal without an answer is given up after this part of the duration.
+/// A renewal is abandoned if it has no answer after this fraction of the lease
+/// duration.
 constexpr int RenewalsPerLease = 3;
 
 } // namespace
@@ -17,8 +18,8 @@
     : Settings(settings), Table(std::move(table)), Hooks(std::move(hooks)),
       Name(self.Name), Own(settings, std::move(self)), View(settings) {}
 
-void LeaseManager::get(std::string key,
-                       TableCallback<std::optional<TableRow>> done) {
+void LeaseManager::readRow(std::string key,
+                           TableCallback<std::optional<TableRow>> done) {
   {
     std::lock_guard lock(Mutex);
     ++Counts.Gets;
@@ -28,7 +29,7 @@
               if (row) {
                 Instant now = self->Hooks.Now();
                 std::lock_guard lock(self->Mutex);
-                self->View.onContact(now);
+                self->View.onTableAnswer(now);
               }
               done(std::move(row));
             });
@@ -45,7 +46,7 @@
     if (result || result.error() == TableError::Conflict) {
       Instant now = self->Hooks.Now();
       std::lock_guard lock(self->Mutex);
-      self->View.onContact(now);
+      self->View.onTableAnswer(now);
     }
     done(std::move(result));
   });
@@ -56,43 +57,44 @@
   {
     std::lock_guard lock(Mutex);
     ++Counts.Rounds;
-    Wanted = std::move(cells);
+    CandidateCells = std::move(cells);
     leaving = Leaving;
   }
-  renew();
+  renewIfDue();
   if (leaving)
     releaseCells([] {});
   if (startScan())
     scan();
   else
-    act();
+    claimAndCheckCells();
 }
 
-void LeaseManager::renew() {
+void LeaseManager::renewIfDue() {
   Instant now = Hooks.Now();
   bool read = false;
   {
     std::lock_guard lock(Mutex);
-    if (Retired || Own.superseded())
+    if (Retired || Own.isSuperseded())
       return;
-    if (RenewalSent &&
-        now - *RenewalSent < Settings.Duration / RenewalsPerLease)
+    if (RenewalSentAt &&
+        now - *RenewalSentAt < Settings.Duration / RenewalsPerLease)
       return;
-    // A fresh lease is renewed later, but at once when it says something new.
+    // A recently renewed lease is renewed later, but at once if the contents
+    // of its row have changed.
     bool fresh = Settings.RenewInterval > Span() &&
-                 Own.confirmedSince(now - Settings.RenewInterval);
-    if (fresh && !RenewNow)
+                 Own.isConfirmedSince(now - Settings.RenewInterval);
+    if (fresh && !RenewalForced)
       return;
-    RenewNow = false;
+    RenewalForced = false;
     auto owned = ownedCells();
-    if (Own.expire(now))
-      loseAll(owned);
-    RenewalSent = now;
+    if (Own.expireIncarnation(now))
+      queueLosses(owned);
+    RenewalSentAt = now;
     read = Own.needsRead();
   }
-  deliver();
+  deliverChanges();
   if (read)
-    readOwn([self = shared_from_this()] { self->sendRenewal(); });
+    readOwnRow([self = shared_from_this()] { self->sendRenewal(); });
   else
     sendRenewal();
 }
@@ -102,12 +104,12 @@
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
-    if (Retired || Own.superseded() || Own.needsRead()) {
-      RenewalSent.reset();
+    if (Retired || Own.isSuperseded() || Own.needsRead()) {
+      RenewalSentAt.reset();
       return;
     }
-    RenewalSent = now;
-    transaction = Own.renewal(now);
+    RenewalSentAt = now;
+    transaction = Own.makeRenewal(now);
   }
   auto attempt = transaction.AttemptId;
   commit(std::move(transaction),
@@ -123,53 +125,55 @@
   {
     std::lock_guard lock(Mutex);
     if (result) {
-      Own.confirm(attempt);
-      if (auto sight = Own.sight())
-        View.see(*sight, now);
+      Own.confirmRenewal(attempt);
+      if (auto own = Own.confirmedRow())
+        View.updateNode(*own, now);
     } else if (result.error() != TableError::Ambiguous) {
-      Own.drop(attempt);
+      Own.dropRenewal(attempt);
     }
-    RenewalSent.reset();
+    RenewalSentAt.reset();
   }
   if (result)
-    return act();
-  // Whether the write took effect is unknown, or another's came first.
+    return claimAndCheckCells();
+  // It is unknown whether the write took effect, or another write came first.
   if (result.error() != TableError::NotSent)
-    readOwn([] {});
+    readOwnRow([] {});
 }
 
-void LeaseManager::readOwn(std::function<void()> then) {
-  get(lease_rows::nodeKey(Name),
-      [self = shared_from_this(), asked = Hooks.Now(),
-       then = std::move(then)](auto row) {
-        if (row) {
-          Instant now = self->Hooks.Now();
-          {
-            std::lock_guard lock(self->Mutex);
-            // A read from before the last renewal tells nothing.
-            if (!self->Own.confirmedSince(asked))
-              self->takeOwn(*row, now);
-          }
-          self->deliver();
-        }
-        then();
-      });
+void LeaseManager::readOwnRow(std::function<void()> then) {
+  readRow(lease_rows::nodeKey(Name),
+          [self = shared_from_this(), sentAt = Hooks.Now(),
+           then = std::move(then)](auto row) {
+            if (row) {
+              Instant now = self->Hooks.Now();
+              {
+                std::lock_guard lock(self->Mutex);
+                // The read may be out of date if a renewal that was sent after
+                // it has been confirmed.
+                if (!self->Own.isConfirmedSince(sentAt))
+                  self->updateOwnRow(*row, now);
+              }
+              self->deliverChanges();
+            }
+            then();
+          });
 }
 
-void LeaseManager::takeOwn(const std::optional<TableRow> &row, Instant now) {
+void LeaseManager::updateOwnRow(const std::optional<TableRow> &row,
+                                Instant now) {
   auto owned = ownedCells();
-  if (Own.take(row))
-    loseAll(owned);
-  if (auto sight = Own.sight())
-    View.see(*sight, now);
+  if (Own.updateFromRow(row))
+    queueLosses(owned);
+  if (auto own = Own.confirmedRow())
+    View.updateNode(*own, now);
 }
 
 bool LeaseManager::startScan() {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
-  if (ScanStarted && now - *ScanStarted < Settings.ScanInterval)
+  if (ScanStartedAt && now - *ScanStartedAt < Settings.ScanInterval)
     return false;
-  ScanStarted = now;
+  ScanStartedAt = now;
   Counts.Scans += 2;
   return true;
 }
@@ -179,126 +183,127 @@
   Table.Scan(std::string(lease_rows::NodePrefix), [self](auto nodes) {
     if (!nodes)
       return;
-    self->takeNodes(*nodes);
+    self->onNodesScanned(*nodes);
     self->Table.Scan(std::string(lease_rows::CellPrefix), [self](auto cells) {
       if (!cells)
         return;
-      self->takeCells(*cells);
-      self->removeStale();
-      self->act();
+      self->onCellsScanned(*cells);
+      self->removeStaleRow();
+      self->claimAndCheckCells();
     });
   });
 }
 
-void LeaseManager::takeNodes(const std::vector<TableRow> &rows) {
+void LeaseManager::onNodesScanned(const std::vector<TableRow> &rows) {
   Instant now = Hooks.Now();
-  std::vector<NodeRow> sights;
+  std::vector<NodeRow> nodes;
   for (const auto &row : rows) {
-    if (auto sight = lease_rows::sightOfNode(row))
-      sights.push_back(std::move(*sight));
+    if (auto node = lease_rows::parseNodeRow(row))
+      nodes.push_back(std::move(*node));
   }
   std::lock_guard lock(Mutex);
-  View.onContact(now);
-  View.seeAll(sights, now);
-  // The scan may be from before our own row was written.
-  if (auto sight = Own.sight())
-    View.see(*sight, now);
+  View.onTableAnswer(now);
+  View.updateAllNodes(nodes, now);
+  // The scan may be older than the last write of this node's own row.
+  if (auto own = Own.confirmedRow())
+    View.updateNode(*own, now);
 }
 
-void LeaseManager::takeCells(const std::vector<TableRow> &rows) {
+void LeaseManager::onCellsScanned(const std::vector<TableRow> &rows) {
   Instant now = Hooks.Now();
   {
     std::lock_guard lock(Mutex);
-    View.onContact(now);
-    ScannedAt = ScannedAt.value_or(now);
+    View.onTableAnswer(now);
+    FirstScannedAt = FirstScannedAt.value_or(now);
     for (const auto &row : rows) {
-      if (auto sight = lease_rows::sightOfCell(row))
-        takeCell(row.Key.substr(lease_rows::CellPrefix.size()), *sight);
+      if (auto cell = lease_rows::parseCellRow(row))
+        updateCell(row.Key.substr(lease_rows::CellPrefix.size()), *cell);
     }
-    std::set<std::string> named;
+    std::set<std::string> referenced;
     for (const auto &[name, cell] : Cells)
-      named.insert(cell.Record.Incarnation);
-    View.prune(named);
+      referenced.insert(cell.Record.Incarnation);
+    View.prune(referenced);
   }
-  deliver();
+  deliverChanges();
 }
 
-void LeaseManager::removeStale() {
+void LeaseManager::removeStaleRow() {
   Instant now = Hooks.Now();
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
-    auto stale = View.stale(now);
-    // One row a scan, each by one node, bounds what cleaning costs.
+    auto stale = View.staleRows(now);
+    // One row per scan, and one node per row, bounds the number of deletions.
     auto it = std::find_if(stale.begin(), stale.end(), [&](const auto &row) {
-      return View.preferred(row.Record.Name, now) == Name;
+      return View.preferredOwner(row.Record.Name, now) == Name;
     });
     if (it == stale.end())
       return;
-    transaction.AttemptId = Own.nextAttempt();
+    transaction.AttemptId = Own.nextAttemptId();
     transaction.Writes.push_back(
         {lease_rows::nodeKey(it->Record.Name), it->Version, std::nullopt});
   }
   commit(std::move(transaction), [](auto) {});
 }
 
-void LeaseManager::onNodeRow(const NodeRow &sight) {
+void LeaseManager::onNodeRow(const NodeRow &row) {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
-  if (sight.Record.Name != Name)
-    View.hear(sight, now);
+  if (row.Record.Name != Name)
+    View.updateNodeIfNewer(row, now);
 }
 
-void LeaseManager::onCellRow(const std::string &cell, const CellRow &sight) {
+void LeaseManager::onCellRow(const std::string &cell, const CellRow &row) {
   bool read = false;
   {
     std::lock_guard lock(Mutex);
     auto it = Cells.find(cell);
-    bool known = it != Cells.end() && it->second.Version >= sight.Version;
-    // What is said to be ours is believed only from the table.
-    read = !known && isOurs(sight.Record) && BusyCells.insert(cell).second;
-    if (!known && !isOurs(sight.Record))
-      takeCell(cell, sight);
+    bool known = it != Cells.end() && it->second.Version >= row.Version;
+    // A row that names this node as the owner counts only if it was read from
+    // the table.
+    read = !known && isOwn(row.Record) && CellsInFlight.insert(cell).second;
+    if (!known && !isOwn(row.Record))
+      updateCell(cell, row);
   }
-  deliver();
+  deliverChanges();
   if (read)
     readCell(cell, [] {});
   else
-    act();
+    claimAndCheckCells();
 }
 
 void LeaseManager::refreshCell(const std::string &cell) {
   {
     std::lock_guard lock(Mutex);
-    if (!BusyCells.insert(cell).second)
+    if (!CellsInFlight.insert(cell).second)
       return;
   }
   readCell(cell, [self = shared_from_this(), cell] {
-    self->takeLeaving(cell);
-    self->act();
+    self->markFormerOwnerLeaving(cell);
+    self->claimAndCheckCells();
   });
 }
 
-void LeaseManager::takeLeaving(const std::string &cell) {
+void LeaseManager::markFormerOwnerLeaving(const std::string &cell) {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
   if (it != Cells.end() && it->second.Record.Owner.empty())
-    View.seeLeaving(it->second.Record.FormerIncarnation);
+    View.markLeaving(it->second.Record.FormerIncarnation);
 }
 
-void LeaseManager::deliver() {
+void LeaseManager::deliverChanges() {
   std::unique_lock lock(Mutex);
   if (Delivering)
     return;
   Delivering = true;
-  while (!Events.empty()) {
-    auto event = std::move(Events.front());
-    Events.pop_front();
+  while (!PendingChanges.empty()) {
+    auto change = std::move(PendingChanges.front());
+    PendingChanges.pop_front();
     lock.unlock();
-    if (event.Fence)
-      Hooks.OnOwned(event.Cell, event.Fence);
+    if (change.Fence)
+      Hooks.OnOwned(change.Cell, change.Fence);
     else
-      Hooks.OnLost(event.Cell);
+      Hooks.OnLost(change.Cell);
     lock.lock();
   }
   Delivering = false;
@@ -313,11 +318,12 @@
   {
     std::lock_guard lock(Mutex);
     auto it = Cells.find(cell);
-    if (Leaving || it == Cells.end() || !isOurs(it->second.Record))
+    if (Leaving || it == Cells.end() || !isOwn(it->second.Record))
       return LeaseMode::None;
-    end = Own.end();
+    end = Own.validUntil();
   }
-  // The clock is read last: a pause before it can't make a lease look longer.
+  // The clock is read last, so that a pause of the process before the read
+  // can't make the lease appear valid for longer.
   return Hooks.Now() < end ? LeaseMode::Held : LeaseMode::Doubtful;
 }
 
@@ -325,9 +331,9 @@
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
-  if (it == Cells.end() || View.isOver(it->second.Record.Incarnation, now))
+  if (it == Cells.end() || View.hasEnded(it->second.Record.Incarnation, now))
     return std::nullopt;
-  auto node = View.find(it->second.Record.Owner);
+  auto node = View.findNode(it->second.Record.Owner);
   if (!node)
     return std::nullopt;
   return node->Record;
@@ -336,14 +342,14 @@
 std::vector<NodeRecord> LeaseManager::nodes() const {
   Instant now = Hooks.Now();
   std::lock_guard lock(Mutex);
-  return View.live(now);
+  return View.liveNodes(now);
 }
 
 Epoch LeaseManager::fenceOf(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
-  bool ours = !Leaving && it != Cells.end() && isOurs(it->second.Record);
-  return ours ? it->second.Record.Fence : 0;
+  bool own = !Leaving && it != Cells.end() && isOwn(it->second.Record);
+  return own ? it->second.Record.Fence : 0;
 }
 
 std::map<std::string, CellRecord> LeaseManager::cells() const {
@@ -356,7 +362,7 @@
 
 std::optional<NodeRow> LeaseManager::self() const {
   std::lock_guard lock(Mutex);
-  return Own.sight();
+  return Own.confirmedRow();
 }
 
 std::optional<CellRow> LeaseManager::cell(const std::string &cell) const {
@@ -365,9 +371,9 @@
   return it == Cells.end() ? std::nullopt : std::optional(it->second);
 }
 
-bool LeaseManager::superseded() const {
+bool LeaseManager::isSuperseded() const {
   std::lock_guard lock(Mutex);
-  return Own.superseded();
+  return Own.isSuperseded();
 }
 
 LeaseCounts LeaseManager::counts() const {
--- a/Hemlockglade/Coordination/Lease/LeaseManagerCells.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseManagerCells.cpp
@@ -1,4 +1,4 @@
-// How the lease keeper takes, checks and gives up cells.
+// The part of LeaseManager that claims, checks and releases cells.
 
 #include "Hemlockglade/Coordination/Lease/LeaseManager.h"
 #include "Hemlockglade/Coordination/Lease/LeaseRows.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Runs `then` when as many parts have ended as were begun.
+/// Returns a function that calls `then` when it has been called `parts` times.
 std::function<void()> whenAll(std::size_t parts, std::function<void()> then) {
   auto left = std::make_shared<std::atomic<std::size_t>>(parts);
   return [left, then = std::move(then)] {
@@ -20,119 +20,121 @@
 
 } // namespace
 
-void LeaseManager::act() {
+void LeaseManager::claimAndCheckCells() {
   Instant now = Hooks.Now();
   std::vector<std::string> due;
   std::map<std::string, std::string> suspects;
   {
     std::lock_guard lock(Mutex);
-    // Never takes over on a doubtful lease.
-    if (Leaving || !ScannedAt || !Own.holds(now))
+    // A node whose own lease has lapsed must not take cells.
+    if (Leaving || !FirstScannedAt || !Own.isValid(now))
       return;
-    for (const auto &cell : Wanted) {
-      if (BusyCells.contains(cell))
+    for (const auto &cell : CandidateCells) {
+      if (CellsInFlight.contains(cell))
         continue;
       auto it = Cells.find(cell);
-      bool claimable = mayClaim(cell, now);
+      bool claimable = canClaim(cell, now);
       if (!claimable && it == Cells.end())
         continue;
-      bool suspect = !claimable && !isOurs(it->second.Record) &&
-                     View.needsCheck(it->second.Record, now);
-      // Choosing among all nodes costs most, so it comes last.
-      if (!(claimable || suspect) || View.preferred(cell, now) != Name)
+      bool suspect = !claimable && !isOwn(it->second.Record) &&
+                     View.mustCheckOwner(it->second.Record, now);
+      // The choice among all nodes costs most, so it is made last.
+      if (!(claimable || suspect) || View.preferredOwner(cell, now) != Name)
         continue;
       if (claimable) {
-        BusyCells.insert(cell);
+        CellsInFlight.insert(cell);
         due.push_back(cell);
-      } else if (BusyOwners.insert(it->second.Record.Owner).second) {
+      } else if (OwnersInFlight.insert(it->second.Record.Owner).second) {
         suspects.emplace(it->second.Record.Owner,
                          it->second.Record.Incarnation);
       }
     }
   }
   for (const auto &cell : due)
-    claim(cell);
+    claimCell(cell);
   for (const auto &[owner, incarnation] : suspects)
-    check(owner, incarnation);
+    checkOwner(owner, incarnation);
 }
 
-bool LeaseManager::mayClaim(const std::string &cell, Instant now) const {
+bool LeaseManager::canClaim(const std::string &cell, Instant now) const {
   auto it = Cells.find(cell);
   if (it == Cells.end())
-    return ScannedAt && now >= *ScannedAt + Settings.SettleTime;
+    return FirstScannedAt && now >= *FirstScannedAt + Settings.SettleTime;
   return it->second.Record.Owner.empty() ||
-         View.isOver(it->second.Record.Incarnation, now);
+         View.hasEnded(it->second.Record.Incarnation, now);
 }
 
-void LeaseManager::check(const std::string &owner,
-                         const std::string &incarnation) {
-  get(lease_rows::nodeKey(owner),
-      [self = shared_from_this(), owner, incarnation](auto row) {
-        if (row)
-          return self->onChecked(owner, incarnation, *row);
-        std::lock_guard lock(self->Mutex);
-        self->BusyOwners.erase(owner);
-      });
+void LeaseManager::checkOwner(const std::string &owner,
+                              const std::string &incarnation) {
+  readRow(lease_rows::nodeKey(owner),
+          [self = shared_from_this(), owner, incarnation](auto row) {
+            if (row)
+              return self->onOwnerRead(owner, incarnation, *row);
+            std::lock_guard lock(self->Mutex);
+            self->OwnersInFlight.erase(owner);
+          });
 }
 
-void LeaseManager::onChecked(const std::string &owner,
-                             const std::string &incarnation,
-                             const std::optional<TableRow> &row) {
+void LeaseManager::onOwnerRead(const std::string &owner,
+                               const std::string &incarnation,
+                               const std::optional<TableRow> &row) {
   Instant now = Hooks.Now();
-  auto sight = row ? lease_rows::sightOfNode(*row) : std::nullopt;
-  bool silent = false;
+  auto node = row ? lease_rows::parseNodeRow(*row) : std::nullopt;
+  bool mustFence = false;
   {
     std::lock_guard lock(Mutex);
-    if (sight)
-      View.see(*sight, now);
-    // The cell's row was seen before this read was sent, and the owner wrote
-    // its own row before that one: if it is gone now, it is gone for good.
-    if (!sight || sight->Record.Incarnation != incarnation)
-      View.seeGone(incarnation, now);
-    silent =
-        sight && !sight->Record.Over && View.silent(owner, incarnation, now);
-    if (!silent)
-      BusyOwners.erase(owner);
+    if (node)
+      View.updateNode(*node, now);
+    // The cell's row was read before this read was sent, and the owner wrote
+    // its own row before the cell's. So if the owner's row is missing now, its
+    // incarnation will not come back.
+    if (!node || node->Record.Incarnation != incarnation)
+      View.markMissing(incarnation, now);
+    mustFence =
+        node && !node->Record.Ended && View.canFence(owner, incarnation, now);
+    if (!mustFence)
+      OwnersInFlight.erase(owner);
   }
-  if (silent)
-    fence(*sight);
+  if (mustFence)
+    fenceOwner(*node);
   else
-    act();
+    claimAndCheckCells();
 }
 
-void LeaseManager::fence(const NodeRow &sight) {
-  auto over = sight.Record;
-  over.Over = true;
+void LeaseManager::fenceOwner(const NodeRow &row) {
+  auto ended = row.Record;
+  ended.Ended = true;
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
-    transaction.AttemptId = Own.nextAttempt();
+    transaction.AttemptId = Own.nextAttemptId();
   }
   transaction.Writes.push_back(
-      {lease_rows::nodeKey(over.Name), sight.Version,
-       lease_rows::write(over, transaction.AttemptId)});
+      {lease_rows::nodeKey(ended.Name), row.Version,
+       lease_rows::write(ended, transaction.AttemptId)});
   commit(std::move(transaction),
-         [self = shared_from_this(), over](auto result) {
+         [self = shared_from_this(), ended](auto result) {
            {
              std::lock_guard lock(self->Mutex);
-             self->BusyOwners.erase(over.Name);
+             self->OwnersInFlight.erase(ended.Name);
              if (result)
-               self->View.seeOver(over.Incarnation);
+               self->View.markEnded(ended.Incarnation);
            }
-           // Without a clear answer the next round reads the row again.
+           // On a conflict or without an answer the next round reads the row
+           // again.
            if (result)
-             self->act();
+             self->claimAndCheckCells();
          });
 }
 
-void LeaseManager::claim(const std::string &cell) {
+void LeaseManager::claimCell(const std::string &cell) {
   Instant now = Hooks.Now();
   CellRecord record;
   std::uint64_t version = 0;
   {
     std::lock_guard lock(Mutex);
-    if (!Own.holds(now) || Leaving || !mayClaim(cell, now)) {
-      BusyCells.erase(cell);
+    if (!Own.isValid(now) || Leaving || !canClaim(cell, now)) {
+      CellsInFlight.erase(cell);
       return;
     }
     auto it = Cells.find(cell);
@@ -157,7 +159,7 @@
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
-    transaction.AttemptId = Own.nextAttempt();
+    transaction.AttemptId = Own.nextAttemptId();
   }
   transaction.Writes.push_back(
       {lease_rows::cellKey(cell), version,
@@ -169,42 +171,43 @@
              return self->readCell(cell, then);
            {
              std::lock_guard lock(self->Mutex);
-             self->BusyCells.erase(cell);
+             self->CellsInFlight.erase(cell);
              if (result)
-               self->takeCell(cell, {record, version + 1});
+               self->updateCell(cell, {record, version + 1});
            }
-           self->deliver();
+           self->deliverChanges();
            then();
          });
 }
 
 void LeaseManager::readCell(const std::string &cell,
                             std::function<void()> then) {
-  get(lease_rows::cellKey(cell), [self = shared_from_this(), cell,
-                                  then = std::move(then)](auto row) {
-    {
-      std::lock_guard lock(self->Mutex);
-      self->BusyCells.erase(cell);
-      auto sight = row && *row ? lease_rows::sightOfCell(**row) : std::nullopt;
-      if (sight)
-        self->takeCell(cell, *sight);
-    }
-    self->deliver();
-    then();
-  });
+  readRow(lease_rows::cellKey(cell),
+          [self = shared_from_this(), cell, then = std::move(then)](auto row) {
+            {
+              std::lock_guard lock(self->Mutex);
+              self->CellsInFlight.erase(cell);
+              auto parsed =
+                  row && *row ? lease_rows::parseCellRow(**row) : std::nullopt;
+              if (parsed)
+                self->updateCell(cell, *parsed);
+            }
+            self->deliverChanges();
+            then();
+          });
 }
 
 void LeaseManager::release(std::function<void()> done) {
   {
     std::lock_guard lock(Mutex);
-    loseAll(ownedCells());
+    queueLosses(ownedCells());
     Leaving = true;
     Own.setLeaving();
-    RenewalSent.reset();
-    RenewNow = true;
+    RenewalSentAt.reset();
+    RenewalForced = true;
   }
-  deliver();
-  renew();
+  deliverChanges();
+  renewIfDue();
   releaseCells(std::move(done));
 }
 
@@ -213,7 +216,7 @@
   {
     std::lock_guard lock(Mutex);
     for (const auto &[name, cell] : Cells) {
-      if (isOurs(cell.Record) && BusyCells.insert(name).second)
+      if (isOwn(cell.Record) && CellsInFlight.insert(name).second)
         owned.emplace_back(name, cell);
     }
   }
@@ -231,46 +234,46 @@
   TableTransaction transaction;
   {
     std::lock_guard lock(Mutex);
-    loseAll(ownedCells());
+    queueLosses(ownedCells());
     Leaving = true;
     Retired = true;
-    transaction = Own.ending();
+    transaction = Own.makeEnding();
   }
-  deliver();
+  deliverChanges();
   commit(std::move(transaction), [done = std::move(done)](auto) { done(); });
 }
 
-void LeaseManager::takeCell(const std::string &cell, const CellRow &sight) {
+void LeaseManager::updateCell(const std::string &cell, const CellRow &row) {
   auto &known = Cells[cell];
-  if (known.Version >= sight.Version)
+  if (known.Version >= row.Version)
     return;
-  bool was = isOurs(known.Record);
-  bool is = isOurs(sight.Record);
-  known = sight;
+  bool was = isOwn(known.Record);
+  bool is = isOwn(row.Record);
+  known = row;
   if (Leaving)
     return;
   if (is)
-    Events.push_back({cell, sight.Record.Fence});
+    PendingChanges.push_back({cell, row.Record.Fence});
   else if (was)
-    Events.push_back({cell, 0});
+    PendingChanges.push_back({cell, 0});
 }
 
-bool LeaseManager::isOurs(const CellRecord &cell) const {
+bool LeaseManager::isOwn(const CellRecord &cell) const {
   return cell.Owner == Name && cell.Incarnation == Own.record().Incarnation;
 }
 
 std::vector<std::string> LeaseManager::ownedCells() const {
   std::vector<std::string> out;
   for (const auto &[name, cell] : Cells) {
-    if (!Leaving && isOurs(cell.Record))
+    if (!Leaving && isOwn(cell.Record))
       out.push_back(name);
   }
   return out;
 }
 
-void LeaseManager::loseAll(const std::vector<std::string> &owned) {
+void LeaseManager::queueLosses(const std::vector<std::string> &owned) {
   for (const auto &cell : owned)
-    Events.push_back({cell, 0});
+    PendingChanges.push_back({cell, 0});
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Lease/LeaseRows.cpp
+++ b/Hemlockglade/Coordination/Lease/LeaseRows.cpp
@@ -43,7 +43,7 @@
               {"peers", node.PeerAddress},
               {"failure_domain", node.FailureDomain},
               {"leaving", node.Leaving},
-              {"over", node.Over},
+              {"over", node.Ended},
               {"attempt", attempt}}
       .dump();
 }
@@ -58,7 +58,7 @@
       .dump();
 }
 
-std::optional<Written<NodeRecord>> readNode(const std::string &text) {
+std::optional<WrittenRecord<NodeRecord>> parseNode(const std::string &text) {
   auto node = json::parse(text, nullptr, false);
   if (!node.is_object() || textOf(node, "name").empty())
     return std::nullopt;
@@ -69,11 +69,11 @@
   record.PeerAddress = textOf(node, "peers");
   record.FailureDomain = textOf(node, "failure_domain");
   record.Leaving = flagOf(node, "leaving");
-  record.Over = flagOf(node, "over");
-  return Written<NodeRecord>{record, textOf(node, "attempt")};
+  record.Ended = flagOf(node, "over");
+  return WrittenRecord<NodeRecord>{record, textOf(node, "attempt")};
 }
 
-std::optional<Written<CellRecord>> readCell(const std::string &text) {
+std::optional<WrittenRecord<CellRecord>> parseCell(const std::string &text) {
   auto node = json::parse(text, nullptr, false);
   if (!node.is_object())
     return std::nullopt;
@@ -83,18 +83,18 @@
   CellRecord record{textOf(node, "owner"), epoch->get<Epoch>(),
                     textOf(node, "incarnation"), textOf(node, "former"),
                     textOf(node, "former_incarnation")};
-  return Written<CellRecord>{record, textOf(node, "attempt")};
+  return WrittenRecord<CellRecord>{record, textOf(node, "attempt")};
 }
 
-std::optional<NodeRow> sightOfNode(const TableRow &row) {
-  auto written = readNode(row.Value);
+std::optional<NodeRow> parseNodeRow(const TableRow &row) {
+  auto written = parseNode(row.Value);
   if (!written)
     return std::nullopt;
   return NodeRow{written->Value, row.Version};
 }
 
-std::optional<CellRow> sightOfCell(const TableRow &row) {
-  auto written = readCell(row.Value);
+std::optional<CellRow> parseCellRow(const TableRow &row) {
+  auto written = parseCell(row.Value);
   if (!written)
     return std::nullopt;
   return CellRow{written->Value, row.Version};
--- a/Hemlockglade/Coordination/Lease/LeaseTypes.h
+++ b/Hemlockglade/Coordination/Lease/LeaseTypes.h
@@ -6,36 +6,38 @@
 
 namespace hemlockglade {
 
-/// What a node says of itself in its lease row.
+/// The contents of a node's lease row, written by the node itself.
 struct NodeRecord {
   std::string Name;
-  /// Changes with each start of the node and with each lease that was lost.
+  /// Differs for each start of the node's process, and for each lease that the
+  /// process acquires after it lost one.
   std::string Incarnation;
   /// `ip:port` for callers.
   std::string CallerAddress;
   /// `ip:port` for other nodes.
   std::string PeerAddress;
   std::string FailureDomain;
-  /// Takes no cells any more, but still serves.
+  /// The node takes no further cells, but still serves.
   bool Leaving = false;
-  /// The lease of this incarnation is over for good.
-  bool Over = false;
+  /// The lease of this incarnation has ended and is never renewed.
+  bool Ended = false;
 };
 
-/// Who owns a cell.
+/// The contents of a cell's ownership row.
 struct CellRecord {
-  /// Name of the owning node; empty if it was released.
+  /// Name of the owning node; empty if the cell was released.
   std::string Owner;
   Epoch Fence = 0;
   /// The owner's incarnation when it took the cell.
   std::string Incarnation;
-  /// The owner before this one, or before it was released, and its
-  /// incarnation; empty if there was none.
+  /// Name and incarnation of the previous owner, which for a released cell is
+  /// the one that released it; empty if there was none.
   std::string FormerOwner;
   std::string FormerIncarnation;
 };
 
-/// The process's part of a lease's incarnation.
+/// Returns the part of a lease's incarnation that identifies the process: all
+/// before the last dot.
 std::string_view processOf(std::string_view incarnation);
 
 /// A node's record and the version of the row that it was read from.
@@ -50,35 +52,36 @@
   std::uint64_t Version = 0;
 };
 
-/// Times of the leases. Two clocks may drift apart by up to Margin / Duration.
+/// Durations and intervals of the leases. Two nodes' clocks may drift apart by
+/// up to Margin / Duration.
 struct LeaseSettings {
   Span Duration = std::chrono::seconds(10);
   Span Margin = std::chrono::seconds(1);
-  /// Least time between two renewals; 0 renews in each round. Well below half
-  /// of the duration, so that one may fail.
+  /// Minimum time between two renewals; 0 renews in each round. Must be well
+  /// below half of the duration, so that the lease survives a failed renewal.
   Span RenewInterval{};
-  /// Least time between two scans of all rows; 0 scans in each round.
+  /// Minimum time between two scans of all rows; 0 scans in each round.
   Span ScanInterval{};
-  /// Time after the first scan in which cells that never had an owner are left
-  /// alone, so that nodes which start together share them.
+  /// Time after the first scan during which cells that never had an owner are
+  /// not claimed, so that nodes that start together share them.
   Span SettleTime{};
-  /// How long the row of a dead node is kept. No write of the table may take
+  /// How long the row of a dead node is kept. No write to the table may take
   /// effect later than half of this after it was sent.
-  Span RowKeep = std::chrono::hours(1);
+  Span RowRetention = std::chrono::hours(1);
 };
 
-/// What the keeper tells its node. Calls come one at a time and in order,
-/// outside the keeper's lock.
+/// Callbacks of LeaseManager. `OnOwned` and `OnLost` are called one at a time
+/// and in order, without the manager's lock held.
 struct LeaseHooks {
-  /// A clock that runs on while the machine is suspended.
+  /// Returns the time of a clock that continues while the machine is suspended.
   std::function<Instant()> Now;
-  /// The cell is ours under a new epoch.
+  /// Called when this node has become the owner of a cell, at a new epoch.
   std::function<void(const std::string &cell, Epoch fence)> OnOwned;
-  /// The cell isn't ours any more.
+  /// Called when this node has ceased to own a cell.
   std::function<void(const std::string &cell)> OnLost;
 };
 
-/// Table operations of one keeper since its start.
+/// Rounds and table operations of one LeaseManager since its start.
 struct LeaseCounts {
   std::uint64_t Rounds = 0;
   std::uint64_t Gets = 0;
--- a/Hemlockglade/Coordination/Lease/OwnLease.cpp
+++ b/Hemlockglade/Coordination/Lease/OwnLease.cpp
@@ -5,90 +5,93 @@
 namespace hemlockglade {
 
 OwnLease::OwnLease(const LeaseSettings &settings, NodeRecord self)
-    : Settings(settings), Self(std::move(self)), Process(Self.Incarnation) {
-  nextIncarnation();
+    : Settings(settings), Self(std::move(self)),
+      ProcessIncarnation(Self.Incarnation) {
+  startNextIncarnation();
 }
 
-std::string OwnLease::nextAttempt() {
-  return Self.Name + '/' + Process + '/' + std::to_string(++Attempts);
+std::string OwnLease::nextAttemptId() {
+  return Self.Name + '/' + ProcessIncarnation + '/' +
+         std::to_string(++AttemptCount);
 }
 
-TableTransaction OwnLease::renewal(Instant now) {
+TableTransaction OwnLease::makeRenewal(Instant now) {
   TableTransaction out;
-  out.AttemptId = nextAttempt();
-  Pending[out.AttemptId] = {now, *Version};
+  out.AttemptId = nextAttemptId();
+  PendingRenewals[out.AttemptId] = {now, *Version};
   out.Writes.push_back({lease_rows::nodeKey(Self.Name), *Version,
                         lease_rows::write(Self, out.AttemptId)});
   return out;
 }
 
-TableTransaction OwnLease::ending() {
+TableTransaction OwnLease::makeEnding() {
   TableTransaction out;
-  out.AttemptId = nextAttempt();
+  out.AttemptId = nextAttemptId();
   auto record = Self;
-  record.Over = true;
+  record.Ended = true;
   out.Writes.push_back({lease_rows::nodeKey(Self.Name), Version.value_or(0),
                         lease_rows::write(record, out.AttemptId)});
   return out;
 }
 
-void OwnLease::confirm(const std::string &attempt) {
-  auto it = Pending.find(attempt);
-  // Renewals of a lost incarnation are gone from the map.
-  if (it == Pending.end())
+void OwnLease::confirmRenewal(const std::string &attempt) {
+  auto it = PendingRenewals.find(attempt);
+  // Renewals of an earlier incarnation were removed from the map.
+  if (it == PendingRenewals.end())
     return;
-  Established = true;
+  RowWritten = true;
   Version = std::max(Version.value_or(0), it->second.ExpectedVersion + 1);
-  ConfirmedAt = std::max(ConfirmedAt, it->second.At);
-  End = std::max(End, ConfirmedAt + Settings.Duration - Settings.Margin);
-  std::erase_if(Pending, [&](const auto &other) {
+  ConfirmedAt = std::max(ConfirmedAt, it->second.SentAt);
+  ValidUntil =
+      std::max(ValidUntil, ConfirmedAt + Settings.Duration - Settings.Margin);
+  std::erase_if(PendingRenewals, [&](const auto &other) {
     return other.second.ExpectedVersion < *Version;
   });
 }
 
-bool OwnLease::take(const std::optional<TableRow> &row) {
-  auto written = row ? lease_rows::readNode(row->Value) : std::nullopt;
+bool OwnLease::updateFromRow(const std::optional<TableRow> &row) {
+  auto written = row ? lease_rows::parseNode(row->Value) : std::nullopt;
   std::uint64_t version = row ? row->Version : 0;
-  bool ours = written && written->Value.Incarnation == Self.Incarnation;
-  if (ours && !written->Value.Over) {
-    confirm(written->Attempt);
+  bool own = written && written->Value.Incarnation == Self.Incarnation;
+  if (own && !written->Value.Ended) {
+    confirmRenewal(written->Attempt);
     Version = std::max(Version.value_or(0), version);
-    Established = true;
+    RowWritten = true;
     return false;
   }
-  bool lost = Established || ours;
-  if (Established && written && !ofThisProcess(written->Value.Incarnation))
+  bool lost = RowWritten || own;
+  if (RowWritten && written && !isOfThisProcess(written->Value.Incarnation))
     Superseded = true;
   if (lost)
-    nextIncarnation();
+    startNextIncarnation();
   Version = version;
   return lost;
 }
 
-bool OwnLease::expire(Instant now) {
-  if (!Established || now < End + Settings.RowKeep / 2)
+bool OwnLease::expireIncarnation(Instant now) {
+  if (!RowWritten || now < ValidUntil + Settings.RowRetention / 2)
     return false;
-  nextIncarnation();
+  startNextIncarnation();
   return true;
 }
 
-std::optional<NodeRow> OwnLease::sight() const {
-  if (!Established || !Version)
+std::optional<NodeRow> OwnLease::confirmedRow() const {
+  if (!RowWritten || !Version)
     return std::nullopt;
   return NodeRow{Self, *Version};
 }
 
-bool OwnLease::ofThisProcess(const std::string &incarnation) const {
-  return incarnation.starts_with(Process + '.');
+bool OwnLease::isOfThisProcess(const std::string &incarnation) const {
+  return incarnation.starts_with(ProcessIncarnation + '.');
 }
 
-void OwnLease::nextIncarnation() {
-  Self.Incarnation = Process + '.' + std::to_string(++Generation);
+void OwnLease::startNextIncarnation() {
+  Self.Incarnation = ProcessIncarnation + '.' + std::to_string(++Generation);
   Version.reset();
-  Pending.clear();
-  End = {};
+  PendingRenewals.clear();
+  ValidUntil = {};
   ConfirmedAt = {};
-  Established = false;
+  RowWritten = false;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Lease/OwnLease.h
+++ b/Hemlockglade/Coordination/Lease/OwnLease.h
@@ -7,64 +7,73 @@
 
 namespace hemlockglade {
 
-/// The lease of this node: what was sent, what is known to have taken effect,
-/// and until when it holds. An incarnation whose row was marked as over or
-/// removed is never used again. Not locked.
+/// The lease of this node: the renewals that were sent, those known to have
+/// taken effect, and the time until which the lease is valid. An incarnation
+/// whose row was marked as ended or removed is never used again. Not
+/// thread-safe.
 class OwnLease {
 public:
   OwnLease(const LeaseSettings &settings, NodeRecord self);
 
-  /// A number that no other write of this process has.
-  std::string nextAttempt();
-  /// The version of the row must be read before the next renewal.
+  /// Returns an attempt id that no other write of this process has.
+  std::string nextAttemptId();
+  /// Whether the row's version must be read before the next renewal.
   bool needsRead() const { return !Version; }
-  /// The renewal to send now.
-  TableTransaction renewal(Instant now);
-  /// The write that ends the lease.
-  TableTransaction ending();
-  /// The renewal took effect.
-  void confirm(const std::string &attempt);
-  /// The renewal took no effect and never will.
-  void drop(const std::string &attempt) { Pending.erase(attempt); }
-  /// Our row as it is in the table; true if all cells are lost.
-  bool take(const std::optional<TableRow> &row);
-  /// Takes a new incarnation if the lease lapsed so long ago that our row may
-  /// have been removed; true if all cells are lost.
-  bool expire(Instant now);
+  /// Creates a renewal, which is pending from `now` on. The row's version must
+  /// be known.
+  TableTransaction makeRenewal(Instant now);
+  /// Creates the write that marks the lease as ended.
+  TableTransaction makeEnding();
+  /// Called when a renewal is known to have taken effect.
+  void confirmRenewal(const std::string &attempt);
+  /// Called when a renewal is known to never take effect.
+  void dropRenewal(const std::string &attempt) {
+    PendingRenewals.erase(attempt);
+  }
+  /// Applies this node's row as read from the table. Returns true if the lease,
+  /// and with it every owned cell, is lost.
+  bool updateFromRow(const std::optional<TableRow> &row);
+  /// Starts a new incarnation if the lease lapsed so long ago that its row may
+  /// have been removed. Returns true if it did: every owned cell is lost.
+  bool expireIncarnation(Instant now);
 
-  bool holds(Instant now) const { return now < End; }
-  /// When the lease lapses unless it is renewed.
-  Instant end() const { return End; }
+  bool isValid(Instant now) const { return now < ValidUntil; }
+  /// The time at which the lease lapses unless it is renewed.
+  Instant validUntil() const { return ValidUntil; }
   /// Whether a renewal that was sent at `since` or later took effect.
-  bool confirmedSince(Instant since) const {
-    return Established && ConfirmedAt >= since;
+  bool isConfirmedSince(Instant since) const {
+    return RowWritten && ConfirmedAt >= since;
   }
-  bool superseded() const { return Superseded; }
+  /// Whether another process has written the row since this one did.
+  bool isSuperseded() const { return Superseded; }
   const NodeRecord &record() const { return Self; }
   void setLeaving() { Self.Leaving = true; }
-  /// Our row as last confirmed; nothing before.
-  std::optional<NodeRow> sight() const;
+  /// This node's row as last confirmed; nothing before the first confirmation.
+  std::optional<NodeRow> confirmedRow() const;
 
 private:
-  /// A renewal whose end is not known.
-  struct Sent {
-    Instant At{};
+  /// A renewal whose outcome is unknown.
+  struct PendingRenewal {
+    Instant SentAt{};
     std::uint64_t ExpectedVersion = 0;
   };
 
-  bool ofThisProcess(const std::string &incarnation) const;
-  void nextIncarnation();
+  bool isOfThisProcess(const std::string &incarnation) const;
+  void startNextIncarnation();
 
   LeaseSettings Settings;
   NodeRecord Self;
-  const std::string Process;
+  const std::string ProcessIncarnation;
+  /// Number of incarnations of this process so far.
   std::uint64_t Generation = 0;
-  std::uint64_t Attempts = 0;
+  std::uint64_t AttemptCount = 0;
+  /// Last known version of this node's row; nothing if it must be read.
   std::optional<std::uint64_t> Version;
-  std::map<std::string, Sent> Pending;
-  Instant End{};
+  std::map<std::string, PendingRenewal> PendingRenewals;
+  Instant ValidUntil{};
   Instant ConfirmedAt{};
-  bool Established = false;
+  /// The row is known to have been written by the current incarnation.
+  bool RowWritten = false;
   bool Superseded = false;
 };
 
--- a/Programs/hemlockgladed/Node.cpp
+++ b/Programs/hemlockgladed/Node.cpp
@@ -354,7 +354,7 @@
 }
 
 void Node::leaseRound() {
-  if (Leases->superseded()) {
+  if (Leases->isSuperseded()) {
     LOG(ERROR) << "another process has taken the name " << Settings.Name;
     return Stopped();
   }
--- a/UnitTests/Coordination/Lease/LeaseFailureTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseFailureTest.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Two hosts; the first owns all cells.
-LeaseHost &startTwo(LeaseFleet &fleet) {
+/// Starts two hosts, of which the first owns all cells, and returns the first.
+FleetHost &startTwo(LeaseFleet &fleet) {
   auto &first = fleet.start("entry-1");
   fleet.run(3s);
   fleet.start("entry-2");
@@ -19,8 +19,9 @@
   return first;
 }
 
-/// Time until every cell has a holder again, at most a minute.
-Span gap(LeaseFleet &fleet) {
+/// Runs the fleet until every cell has a holder, at most a minute, and returns
+/// the time that took.
+Span timeUntilHeld(LeaseFleet &fleet) {
   Instant start = fleet.Time.now();
   while (!fleet.unheld().empty() && fleet.Time.now() - start < 60s)
     fleet.run(50ms);
@@ -29,10 +30,11 @@
 
 } // namespace
 
-TEST_CASE("a killed or frozen owner is replaced after lease and margin",
-          "[lease]") {
+TEST_CASE(
+    "cells of a killed or frozen owner are claimed after lease and margin",
+    "[lease]") {
   bool freeze = GENERATE(true, false);
-  bool waiting = GENERATE(true, false);
+  bool waitsForExpiry = GENERATE(true, false);
   LeaseFleet fleet(1);
   fleet.Switches.Drift = 0;
   auto &first = startTwo(fleet);
@@ -40,8 +42,9 @@
     fleet.pause(first);
   else
     fleet.kill(first);
-  if (waiting) {
-    // Just short of lease + margin after the last renewal nobody took it.
+  if (waitsForExpiry) {
+    // Just before the lease and the margin have passed since the last renewal,
+    // no other host has claimed a cell.
     fleet.run(9900ms);
     REQUIRE(fleet.Current["entry-2"]->Owned.empty());
   }
@@ -50,47 +53,50 @@
   while (second.Owned.size() < fleet.Cells.size() &&
          fleet.Time.now() - start < 60s)
     fleet.run(50ms);
-  // Lease + margin, a round until it is noticed, and three answers.
-  REQUIRE(fleet.Time.now() - start <= (waiting ? 2200ms : 12100ms));
+  // Lease and margin, up to one round until the expiry is noticed, and three
+  // table operations.
+  REQUIRE(fleet.Time.now() - start <= (waitsForExpiry ? 2200ms : 12100ms));
   if (freeze) {
-    fleet.wake(first);
+    fleet.resume(first);
     for (const auto &cell : fleet.Cells)
-      REQUIRE_FALSE(first.Keeper->holds(cell));
+      REQUIRE_FALSE(first.Manager->holds(cell));
     fleet.run(5s);
     REQUIRE(first.Owned.empty());
-    // It comes back as a new incarnation and takes nothing that is held.
-    REQUIRE(first.Keeper->nodes().size() == 2);
+    // The resumed host has a new incarnation and claims no cell that is held.
+    REQUIRE(first.Manager->nodes().size() == 2);
   }
-  REQUIRE(fleet.Broken.empty());
+  REQUIRE(fleet.Violations.empty());
 }
 
-TEST_CASE("a leaving node hands over at once and stays listed", "[lease]") {
+TEST_CASE("a leaving node releases its cells at once and stays listed",
+          "[lease]") {
   LeaseFleet fleet(1);
   auto &first = startTwo(fleet);
-  bool told = false;
-  first.Keeper->release([&] { told = true; });
+  bool released = false;
+  first.Manager->release([&] { released = true; });
   REQUIRE(fleet.unheld().size() == fleet.Cells.size());
-  REQUIRE(gap(fleet) <= 1200ms);
-  REQUIRE(told);
+  REQUIRE(timeUntilHeld(fleet) <= 1200ms);
+  REQUIRE(released);
   fleet.run(20s);
-  auto nodes = fleet.Current["entry-2"]->Keeper->nodes();
+  auto nodes = fleet.Current["entry-2"]->Manager->nodes();
   REQUIRE(nodes.size() == 2);
   REQUIRE(nodes.front().Leaving);
   bool retired = false;
-  first.Keeper->retire([&] { retired = true; });
+  first.Manager->retire([&] { retired = true; });
   fleet.run(2s);
   REQUIRE(retired);
-  REQUIRE(fleet.Current["entry-2"]->Keeper->nodes().size() == 1);
-  REQUIRE(fleet.Broken.empty());
+  REQUIRE(fleet.Current["entry-2"]->Manager->nodes().size() == 1);
+  REQUIRE(fleet.Violations.empty());
 }
 
-TEST_CASE("a release is finished though its answers are lost", "[lease]") {
+TEST_CASE("a release completes although requests or answers were lost",
+          "[lease]") {
   LeaseFleet fleet(1);
   auto &first = startTwo(fleet);
   bool applied = GENERATE(true, false);
   (applied ? fleet.Table.Faults.LoseAnswer : fleet.Table.Faults.LoseRequest) =
       1;
-  first.Keeper->release([] {});
+  first.Manager->release([] {});
   fleet.run(3s);
   fleet.Table.Faults = {};
   fleet.run(3s);
@@ -98,7 +104,8 @@
   REQUIRE(fleet.holder(fleet.Cells.front()) == fleet.Current["entry-2"]);
 }
 
-TEST_CASE("a claim whose answer was lost is found by reading back", "[lease]") {
+TEST_CASE("a claim whose answer was lost is found by reading the cell's row",
+          "[lease]") {
   bool readBack = GENERATE(true, false);
   LeaseSettings settings;
   settings.ScanInterval = 1h;
@@ -113,38 +120,42 @@
     REQUIRE(epoch == 1);
 }
 
-TEST_CASE("a renewal between a taker's read and its mark wins", "[lease]") {
+TEST_CASE("an owner that renews between the read and the mark of its row keeps "
+          "its cells",
+          "[lease]") {
   bool written = GENERATE(true, false);
   LeaseFleet fleet(1);
   fleet.Switches.Drift = 0;
   fleet.Switches.FenceIsWritten = written;
   auto &first = startTwo(fleet);
   fleet.pause(first);
-  // The owner wakes when the taker has read its row, and renews in time.
+  // The owner resumes when the successor has read its row, and renews before
+  // the successor's mark takes effect.
   fleet.BeforeFence = [&] {
-    fleet.wake(first);
+    fleet.resume(first);
     auto node = lease_rows::nodeKey("entry-1");
     auto row = fleet.Table.Rows[node];
-    first.Keeper->round(fleet.Cells);
+    first.Manager->round(fleet.Cells);
     while (fleet.Table.Rows[node].Version == row.Version)
       fleet.Time.advance(1ms);
     fleet.Time.advance(20ms);
   };
   fleet.run(30s);
-  REQUIRE(fleet.Broken.empty() == written);
+  REQUIRE(fleet.Violations.empty() == written);
   if (written)
     REQUIRE(first.Owned.size() == fleet.Cells.size());
 }
 
-TEST_CASE("a store that is down takes no cell from its owner", "[lease]") {
+TEST_CASE("an owner keeps its cells through an outage of the table",
+          "[lease]") {
   LeaseFleet fleet(1);
   auto &first = startTwo(fleet);
   fleet.Table.Down = true;
   fleet.run(600s);
   REQUIRE(fleet.unheld().size() == fleet.Cells.size());
   for (const auto &cell : fleet.Cells)
-    REQUIRE(first.Keeper->modeOf(cell) == LeaseMode::Doubtful);
-  REQUIRE(fleet.Current["entry-2"]->Keeper->nodes().size() == 2);
+    REQUIRE(first.Manager->modeOf(cell) == LeaseMode::Doubtful);
+  REQUIRE(fleet.Current["entry-2"]->Manager->nodes().size() == 2);
   fleet.Table.Down = false;
   fleet.run(3s);
   REQUIRE(fleet.unheld().empty());
@@ -152,7 +163,7 @@
   REQUIRE(fleet.Current["entry-2"]->Owned.empty());
 }
 
-TEST_CASE("a restarted node does not own what its former self owned",
+TEST_CASE("a restarted node does not own the cells of its earlier incarnation",
           "[lease]") {
   LeaseFleet fleet(1);
   fleet.Switches.Drift = 0;
@@ -162,21 +173,21 @@
     fleet.pause(first);
   else
     fleet.kill(first);
-  auto &again = fleet.start("entry-1");
+  auto &restarted = fleet.start("entry-1");
   fleet.run(9s);
-  REQUIRE(again.Owned.empty());
+  REQUIRE(restarted.Owned.empty());
   fleet.run(6s);
   REQUIRE(fleet.unheld().empty());
   if (frozen) {
-    fleet.wake(first);
+    fleet.resume(first);
     fleet.run(5s);
-    REQUIRE(first.Keeper->superseded());
-    REQUIRE_FALSE(again.Keeper->superseded());
+    REQUIRE(first.Manager->isSuperseded());
+    REQUIRE_FALSE(restarted.Manager->isSuperseded());
   }
-  REQUIRE(fleet.Broken.empty());
+  REQUIRE(fleet.Violations.empty());
 }
 
-TEST_CASE("a cell stays with its live owner when nodes come", "[lease]") {
+TEST_CASE("a cell stays with its live owner when nodes join", "[lease]") {
   LeaseFleet fleet(1);
   auto &first = startTwo(fleet);
   for (int it = 3; it < 10; ++it)
@@ -185,7 +196,7 @@
   REQUIRE(first.Owned.size() == fleet.Cells.size());
 }
 
-TEST_CASE("gossip stands in for scans", "[lease]") {
+TEST_CASE("rows received from other nodes make scans unnecessary", "[lease]") {
   LeaseSettings settings;
   settings.ScanInterval = 1h;
   LeaseFleet fleet(1, settings);
@@ -193,39 +204,39 @@
   auto &first = fleet.start("entry-1");
   fleet.run(3s);
   auto &second = fleet.start("entry-2");
-  auto talk = [&](Span span) {
+  auto runWithGossip = [&](Span span) {
     for (Span it{}; it < span; it += 1s) {
       fleet.run(1s);
-      if (auto self = first.Keeper->self(); self && !first.Dead)
-        second.Keeper->onNodeRow(*self);
+      if (auto self = first.Manager->self(); self && !first.Dead)
+        second.Manager->onNodeRow(*self);
     }
   };
-  talk(60s);
-  auto counts = second.Keeper->counts();
+  runWithGossip(60s);
+  auto counts = second.Manager->counts();
   REQUIRE(counts.Scans == 2);
   REQUIRE(counts.Gets == 1);
   REQUIRE(counts.Commits <= counts.Rounds + 1);
-  REQUIRE(second.Keeper->nodes().size() == 2);
-  SECTION("a handover is told") {
-    first.Keeper->release([] {});
+  REQUIRE(second.Manager->nodes().size() == 2);
+  SECTION("released cells are claimed when their rows are received") {
+    first.Manager->release([] {});
     fleet.run(100ms);
-    second.Keeper->onNodeRow(*first.Keeper->self());
+    second.Manager->onNodeRow(*first.Manager->self());
     for (const auto &cell : fleet.Cells)
-      second.Keeper->onCellRow(cell, *first.Keeper->cell(cell));
+      second.Manager->onCellRow(cell, *first.Manager->cell(cell));
     fleet.run(100ms);
     REQUIRE(second.Owned.size() == fleet.Cells.size());
   }
-  SECTION("silence is checked with one read and one write an owner") {
+  SECTION("the cells of a dead owner are claimed after one read of its row") {
     fleet.kill(first);
-    talk(15s);
+    runWithGossip(15s);
     REQUIRE(second.Owned.size() == fleet.Cells.size());
-    REQUIRE(second.Keeper->counts().Gets == 2);
+    REQUIRE(second.Manager->counts().Gets == 2);
   }
 }
 
-TEST_CASE("rows of dead nodes are removed after their time", "[lease]") {
+TEST_CASE("rows of dead nodes are removed after RowRetention", "[lease]") {
   LeaseSettings settings;
-  settings.RowKeep = 60s;
+  settings.RowRetention = 60s;
   LeaseFleet fleet(1, settings);
   fleet.Switches.Drift = 0;
   fleet.kill(startTwo(fleet));
@@ -235,7 +246,8 @@
   REQUIRE_FALSE(fleet.Table.Rows.contains("node/entry-1"));
 }
 
-TEST_CASE("nodes that start together share the cells", "[lease]") {
+TEST_CASE("nodes that start together share the cells if there is a settle time",
+          "[lease]") {
   bool settle = GENERATE(true, false);
   LeaseSettings settings;
   settings.SettleTime = settle ? 3s : 0s;
@@ -249,8 +261,8 @@
   }
   fleet.run(10s);
   REQUIRE(fleet.unheld().empty());
-  std::size_t most = 0;
+  std::size_t maxOwned = 0;
   for (const auto &host : fleet.Hosts)
-    most = std::max(most, host->Owned.size());
-  REQUIRE((most < 2 * each) == settle);
+    maxOwned = std::max(maxOwned, host->Owned.size());
+  REQUIRE((maxOwned < 2 * each) == settle);
 }
--- a/UnitTests/Coordination/Lease/LeaseFigures.h
+++ b/UnitTests/Coordination/Lease/LeaseFigures.h
@@ -4,14 +4,14 @@
 
 namespace hemlockglade::test {
 
-/// Times of a fleet whose figures are taken.
+/// Lease settings and size of a fleet that is measured.
 struct FigureSetup {
   Span Duration = std::chrono::seconds(10);
   Span Margin = std::chrono::seconds(1);
   Span Renew = std::chrono::seconds(3);
   Span Scan = std::chrono::seconds(1);
   Span Round = std::chrono::milliseconds(250);
-  /// Each node's renewal is told to all others at once.
+  /// Each node's new lease and ownership rows are sent to all others at once.
   bool Gossip = false;
   int Nodes = 7;
   int Cells = 7;
@@ -25,17 +25,18 @@
   double Seconds = 0;
 };
 
-/// How a node of the fleet goes.
-enum class Going : std::uint8_t { Killed, Frozen, Released };
+/// How a node of the fleet stops.
+enum class Departure : std::uint8_t { Killed, Frozen, Released };
 
-/// A fleet whose table operations and times without an owner are measured.
+/// Measures the table operations of a fleet, and the time for which cells have
+/// no owner after a node stops.
 class FigureFleet {
 public:
   FigureFleet(std::uint64_t seed, const FigureSetup &setup)
       : Setup(setup), Fleet(seed, settingsOf(setup)) {
     Fleet.Switches.Drift = 0;
     Fleet.RoundInterval = setup.Round;
-    Fleet.Checks = false;
+    Fleet.ChecksEnabled = false;
     Fleet.Cells.clear();
     for (int it = 0; it < setup.Cells; ++it)
       Fleet.Cells.push_back("assistant/" + std::to_string(it));
@@ -52,7 +53,7 @@
     for (Span it{}; it < span; it += step) {
       Fleet.run(step);
       if (Setup.Gossip)
-        tell();
+        sendRows();
     }
   }
 
@@ -65,24 +66,25 @@
             std::chrono::duration<double>(span).count()};
   }
 
-  /// Lets the node with the most cells go; the figures until all its cells
-  /// have an owner again that may act, without renewals and scans.
-  Figures lose(Going how) {
-    LeaseHost *gone = Fleet.Hosts.front().get();
+  /// Stops the node with the most cells. Returns the figures until all cells
+  /// have an owner again, renewals and scans not counted.
+  Figures measureFailover(Departure how) {
+    FleetHost *departing = Fleet.Hosts.front().get();
     for (auto &host : Fleet.Hosts) {
-      if (host->Owned.size() > gone->Owned.size())
-        gone = host.get();
+      if (host->Owned.size() > departing->Owned.size())
+        departing = host.get();
     }
-    Lost = gone->Owned.size();
+    CellsLost = departing->Owned.size();
     Fleet.Gets = Fleet.CellWrites = 0;
     auto start = Fleet.Time.now();
-    if (how == Going::Killed)
-      Fleet.kill(*gone);
-    else if (how == Going::Frozen)
-      Fleet.pause(*gone);
+    if (how == Departure::Killed)
+      Fleet.kill(*departing);
+    else if (how == Departure::Frozen)
+      Fleet.pause(*departing);
     else
-      gone->Keeper->release([] {});
-    while (unowned(*gone) && Fleet.Time.now() - start < std::chrono::minutes(2))
+      departing->Manager->release([] {});
+    while (hasUnownedCells(*departing) &&
+           Fleet.Time.now() - start < std::chrono::minutes(2))
       run(std::chrono::milliseconds(50));
     auto seconds =
         std::chrono::duration<double>(Fleet.Time.now() - start).count();
@@ -90,8 +92,8 @@
             static_cast<double>(Fleet.CellWrites), 0, seconds};
   }
 
-  /// How many cells the node had that was let go.
-  std::size_t Lost = 0;
+  /// Number of cells that the stopped node owned.
+  std::size_t CellsLost = 0;
 
 private:
   static LeaseSettings settingsOf(const FigureSetup &setup) {
@@ -109,51 +111,51 @@
             static_cast<double>(Fleet.Table.RowsRead)};
   }
 
-  bool unowned(const LeaseHost &gone) {
+  bool hasUnownedCells(const FleetHost &departing) {
     std::size_t owned = 0;
     for (auto &host : Fleet.Hosts) {
-      if (host.get() != &gone && !host->Dead)
+      if (host.get() != &departing && !host->Dead)
         owned += host->Owned.size();
     }
     return owned < Fleet.Cells.size();
   }
 
-  void tell() {
+  void sendRows() {
     for (auto &from : Fleet.Hosts) {
       if (from->Dead || from->Paused)
         continue;
-      auto self = from->Keeper->self();
-      if (self &&
-          std::exchange(Told[from.get()], self->Version) != self->Version)
-        tellAll([&](LeaseManager &to) { to.onNodeRow(*self); });
+      auto self = from->Manager->self();
+      if (self && std::exchange(SentNodeVersions[from.get()], self->Version) !=
+                      self->Version)
+        forEachRunning([&](LeaseManager &to) { to.onNodeRow(*self); });
       if (self && self->Record.Leaving) {
         for (const auto &cell : Fleet.Cells)
-          tellCell(*from, cell);
+          sendCellRow(*from, cell);
       }
       for (const auto &[cell, epoch] : from->Owned)
-        tellCell(*from, cell);
+        sendCellRow(*from, cell);
     }
   }
 
-  void tellCell(const LeaseHost &from, const std::string &cell) {
-    auto sight = from.Keeper->cell(cell);
-    if (!sight || sight->Version <= ToldCells[cell])
+  void sendCellRow(const FleetHost &from, const std::string &cell) {
+    auto row = from.Manager->cell(cell);
+    if (!row || row->Version <= SentCellVersions[cell])
       return;
-    ToldCells[cell] = sight->Version;
-    tellAll([&](LeaseManager &to) { to.onCellRow(cell, *sight); });
+    SentCellVersions[cell] = row->Version;
+    forEachRunning([&](LeaseManager &to) { to.onCellRow(cell, *row); });
   }
 
-  template <typename Call> void tellAll(Call call) {
+  template <typename Call> void forEachRunning(Call call) {
     for (auto &to : Fleet.Hosts) {
       if (!to->Dead && !to->Paused)
-        call(*to->Keeper);
+        call(*to->Manager);
     }
   }
 
   FigureSetup Setup;
   LeaseFleet Fleet;
-  std::map<const LeaseHost *, std::uint64_t> Told;
-  std::map<std::string, std::uint64_t> ToldCells;
+  std::map<const FleetHost *, std::uint64_t> SentNodeVersions;
+  std::map<std::string, std::uint64_t> SentCellVersions;
 };
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Lease/LeaseFiguresTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseFiguresTest.cpp
@@ -21,7 +21,8 @@
   return out;
 }
 
-/// As the large size would have it: gossip, and a scan a minute.
+/// The settings of a large deployment: rows are sent between nodes, and each
+/// node scans once a minute.
 FigureSetup gossiping(FigureSetup setup, int nodes) {
   setup.Gossip = true;
   setup.Scan = 60s;
@@ -30,23 +31,23 @@
   return setup;
 }
 
-struct Spread {
-  double Least = 1e9;
+struct Range {
+  double Min = 1e9;
   double Mean = 0;
-  double Most = 0;
+  double Max = 0;
 
   void add(double it) {
-    Least = std::min(Least, it);
+    Min = std::min(Min, it);
     Mean += it / Seeds;
-    Most = std::max(Most, it);
+    Max = std::max(Max, it);
   }
 };
 
-Spread withoutOwner(const FigureSetup &setup, Going how) {
-  Spread out;
+Range timeWithoutOwner(const FigureSetup &setup, Departure how) {
+  Range out;
   for (int seed = 1; seed <= Seeds; ++seed) {
     FigureFleet fleet(seed, setup);
-    out.add(fleet.lose(how).Seconds);
+    out.add(fleet.measureFailover(how).Seconds);
   }
   return out;
 }
@@ -60,28 +61,28 @@
           out.RowsRead / nodeSeconds, out.Seconds};
 }
 
-/// Operations of a failover, the mean of all seeds.
+/// Cells and table operations of a failover, the mean over all seeds.
 struct Failover {
   double Cells = 0;
   double Reads = 0;
   double Writes = 0;
 };
 
-Failover failover(const FigureSetup &setup, int seeds = Seeds) {
+Failover meanFailover(const FigureSetup &setup, int seeds = Seeds) {
   Failover out;
   for (int seed = 1; seed <= seeds; ++seed) {
     FigureFleet fleet(seed, setup);
-    auto it = fleet.lose(Going::Killed);
-    out.Cells += static_cast<double>(fleet.Lost) / seeds;
+    auto it = fleet.measureFailover(Departure::Killed);
+    out.Cells += static_cast<double>(fleet.CellsLost) / seeds;
     out.Reads += it.Reads / seeds;
     out.Writes += it.Writes / seeds;
   }
   return out;
 }
 
-void print(const char *name, const Spread &it) {
-  std::printf("%-44s least %6.2f mean %6.2f most %6.2f s\n", name, it.Least,
-              it.Mean, it.Most);
+void print(const char *name, const Range &it) {
+  std::printf("%-44s least %6.2f mean %6.2f most %6.2f s\n", name, it.Min,
+              it.Mean, it.Max);
 }
 
 void print(const char *name, int nodes, const Figures &it) {
@@ -96,17 +97,17 @@
 
 } // namespace
 
-TEST_CASE("time without an owner stays within its bounds", "[lease]") {
+TEST_CASE("the time for which a cell has no owner is bounded", "[lease]") {
   auto longLease = FigureSetup{};
-  REQUIRE(withoutOwner(longLease, Going::Killed).Most <= 12.0);
-  REQUIRE(withoutOwner(longLease, Going::Frozen).Most <= 12.0);
-  REQUIRE(withoutOwner(longLease, Going::Released).Most <= 1.6);
-  REQUIRE(withoutOwner(shortLease(), Going::Killed).Most <= 4.0);
-  REQUIRE(withoutOwner(shortLease(), Going::Frozen).Most <= 4.0);
-  REQUIRE(withoutOwner(shortLease(), Going::Released).Most <= 0.7);
+  REQUIRE(timeWithoutOwner(longLease, Departure::Killed).Max <= 12.0);
+  REQUIRE(timeWithoutOwner(longLease, Departure::Frozen).Max <= 12.0);
+  REQUIRE(timeWithoutOwner(longLease, Departure::Released).Max <= 1.6);
+  REQUIRE(timeWithoutOwner(shortLease(), Departure::Killed).Max <= 4.0);
+  REQUIRE(timeWithoutOwner(shortLease(), Departure::Frozen).Max <= 4.0);
+  REQUIRE(timeWithoutOwner(shortLease(), Departure::Released).Max <= 0.7);
 }
 
-TEST_CASE("table operations of an idle node stay within bounds", "[lease]") {
+TEST_CASE("the rate of an idle node's table operations is bounded", "[lease]") {
   auto small = idle(FigureSetup{});
   REQUIRE(small.Writes <= 0.34);
   REQUIRE(small.Reads <= 2.1);
@@ -117,40 +118,43 @@
   }
 }
 
-TEST_CASE("a failover costs a few operations a cell", "[lease]") {
+TEST_CASE("a failover takes at most two reads and two writes per cell, and one "
+          "more of each",
+          "[lease]") {
   for (bool gossip : {false, true}) {
     auto setup = gossip ? gossiping(FigureSetup{}, 7) : FigureSetup{};
-    auto it = failover(setup);
-    // For each cell at most a read and a mark of its owner, the claim, and
-    // a read of the mark that another successor made first.
+    auto it = meanFailover(setup);
+    // Per cell at most one read of the owner's row, one write that marks it as
+    // ended, the claim, and a read of the mark if another successor wrote it
+    // first.
     REQUIRE(it.Reads <= 2 * it.Cells + 1);
     REQUIRE(it.Writes <= 2 * it.Cells + 1);
   }
 }
 
 // Prints the figures of docs/benchmarks/recovery.md.
-TEST_CASE("figures of the leases", "[.figures]") {
+TEST_CASE("prints lease operations and failover times", "[.figures]") {
   FigureSetup longLease;
-  struct Named {
+  struct Scenario {
     const char *Name;
-    Going How;
+    Departure How;
   };
-  for (auto it :
-       {Named{"killed", Going::Killed}, Named{"frozen", Going::Frozen},
-        Named{"released", Going::Released}}) {
+  for (auto it : {Scenario{"killed", Departure::Killed},
+                  Scenario{"frozen", Departure::Frozen},
+                  Scenario{"released", Departure::Released}}) {
     std::printf("%s\n", it.Name);
-    print("  lease 10 s, scans", withoutOwner(longLease, it.How));
+    print("  lease 10 s, scans", timeWithoutOwner(longLease, it.How));
     print("  lease 10 s, gossip",
-          withoutOwner(gossiping(longLease, 7), it.How));
-    print("  lease 3 s, scans", withoutOwner(shortLease(), it.How));
+          timeWithoutOwner(gossiping(longLease, 7), it.How));
+    print("  lease 3 s, scans", timeWithoutOwner(shortLease(), it.How));
     print("  lease 3 s, gossip",
-          withoutOwner(gossiping(shortLease(), 7), it.How));
+          timeWithoutOwner(gossiping(shortLease(), 7), it.How));
   }
   for (int nodes : {3, 7, 50}) {
     auto setup = longLease;
     setup.Nodes = setup.Cells = nodes;
     print("idle, scans, 10 s", nodes, idle(setup));
-    print("failover, scans, 10 s", nodes, failover(setup));
+    print("failover, scans, 10 s", nodes, meanFailover(setup));
   }
   print("idle, scans, 3 s", 7, idle(shortLease()));
   for (int nodes : {3, 7, 50, 200}) {
@@ -158,12 +162,12 @@
     setup.Round = nodes > 50 ? Span(1s) : setup.Round;
     print("idle, gossip, 10 s", nodes, idle(setup));
     print("failover, gossip, 10 s", nodes,
-          failover(setup, nodes > 50 ? 1 : Seeds));
+          meanFailover(setup, nodes > 50 ? 1 : Seeds));
     std::fflush(stdout);
   }
 }
 
-TEST_CASE("figures of the leases of 580 nodes", "[.large]") {
+TEST_CASE("prints lease operations of 580 nodes", "[.large]") {
   auto setup = gossiping(FigureSetup{}, 580);
   setup.Round = 1s;
   print("idle, gossip, 10 s", setup.Nodes, idle(setup));
--- a/UnitTests/Coordination/Lease/LeaseFleet.h
+++ b/UnitTests/Coordination/Lease/LeaseFleet.h
@@ -5,37 +5,39 @@
 
 namespace hemlockglade::test {
 
-/// Mechanisms that a test may switch off, all of them outside the product.
+/// Conditions that LeaseManager relies on and that a test can disable; all are
+/// simulated by the fixture.
 struct FleetSwitches {
-  /// Clocks run on while their host is paused.
+  /// A host's clock continues while the host is paused.
   bool ClockRunsInPause = true;
-  /// A restarted host gets a new incarnation.
+  /// A restarted host has a new incarnation.
   bool NewIncarnation = true;
   /// The table compares versions.
   bool CompareAndSet = true;
   /// The table answers reads of single rows.
   bool ReadBack = true;
-  /// A taker's mark on the row of a silent owner is really written.
+  /// The write that marks an expired owner's row as ended reaches the table.
   bool FenceIsWritten = true;
-  /// Largest drift of a clock, as a part of Margin / Duration.
+  /// Maximum drift of a clock, as a fraction of Margin / Duration.
   double Drift = 0.95;
 };
 
-/// A lease keeper with a drifting clock that can be paused and killed.
-struct LeaseHost {
-  std::shared_ptr<LeaseManager> Keeper;
+/// A lease manager with a drifting clock that can be paused and killed.
+struct FleetHost {
+  std::shared_ptr<LeaseManager> Manager;
   double Rate = 1;
   Span Offset{};
   bool Paused = false;
   bool Dead = false;
   Instant PausedAt{};
-  Span LostToPauses{};
-  std::vector<std::function<void()>> Waiting;
+  Span PausedFor{};
+  std::vector<std::function<void()>> DelayedCalls;
   std::map<std::string, Epoch> Owned;
-  std::map<std::string, Epoch> LastOwned;
+  std::map<std::string, Epoch> LastOwnedEpochs;
 };
 
-/// A few hosts on one fake table in virtual time, and what must hold of them.
+/// Several hosts on one fake table in virtual time, with checks of the leases'
+/// invariants: a cell has at most one holder, and its epochs rise.
 class LeaseFleet {
 public:
   explicit LeaseFleet(std::uint64_t seed, LeaseSettings settings = {},
@@ -51,30 +53,31 @@
   FleetSwitches Switches;
   std::vector<std::string> Cells{"assistant/0", "assistant/1", "drafter/0"};
   Span RoundInterval = std::chrono::seconds(1);
-  /// Commits of ownership rows take effect and nobody is told.
+  /// Commits of ownership rows take effect, but their answers are lost.
   bool LoseCellAnswers = false;
-  /// Called once, before the first mark on a silent owner's row is sent.
+  /// Called once, before the first write that marks an owner's row as ended.
   std::function<void()> BeforeFence;
-  /// Whether the promises are checked all the time.
-  bool Checks = true;
-  /// Reads of single rows, and writes that are no renewals, as sent.
+  /// Whether `checkInvariants` checks anything.
+  bool ChecksEnabled = true;
+  /// Numbers of reads of single rows, and of writes that are not renewals, as
+  /// sent.
   std::uint64_t Gets = 0;
   std::uint64_t CellWrites = 0;
-  /// All hosts ever started; those at the end of `Current` run.
-  std::vector<std::unique_ptr<LeaseHost>> Hosts;
-  std::map<std::string, LeaseHost *> Current;
-  /// Broken promises, in words.
-  std::vector<std::string> Broken;
+  /// All hosts ever started; `Current` has the last one of each name.
+  std::vector<std::unique_ptr<FleetHost>> Hosts;
+  std::map<std::string, FleetHost *> Current;
+  /// Descriptions of the violations found.
+  std::vector<std::string> Violations;
 
-  LeaseHost &start(const std::string &name) {
-    Hosts.push_back(std::make_unique<LeaseHost>());
+  FleetHost &start(const std::string &name) {
+    Hosts.push_back(std::make_unique<FleetHost>());
     auto &host = *Hosts.back();
-    double most = Switches.Drift * Settings.Margin.count() /
-                  static_cast<double>(Settings.Duration.count());
-    // Clocks at the ends of what is allowed find most.
+    double maxDrift = Switches.Drift * Settings.Margin.count() /
+                      static_cast<double>(Settings.Duration.count());
+    // Clocks with the maximum drift find the most violations.
     std::array rates{
-        1 - most, 1 + most,
-        std::uniform_real_distribution(1 - most, 1 + most)(Random)};
+        1 - maxDrift, 1 + maxDrift,
+        std::uniform_real_distribution(1 - maxDrift, 1 + maxDrift)(Random)};
     host.Rate = rates[Random() % rates.size()];
     host.Offset = std::chrono::seconds(Hosts.size() * 1000);
     LeaseHooks hooks;
@@ -82,9 +85,9 @@
     hooks.OnOwned = [this, &host](const std::string &cell, Epoch fence) {
       if (host.Dead)
         return;
-      auto &last = host.LastOwned[cell];
+      auto &last = host.LastOwnedEpochs[cell];
       if (fence <= last)
-        Broken.push_back("epoch did not rise: " + cell);
+        Violations.push_back("epoch did not rise: " + cell);
       last = fence;
       host.Owned[cell] = fence;
     };
@@ -92,36 +95,36 @@
     auto incarnation =
         Switches.NewIncarnation ? std::to_string(Hosts.size()) : "same";
     NodeRecord self{name, "i" + incarnation, "c-" + name, "p-" + name, "d"};
-    host.Keeper =
+    host.Manager =
         std::make_shared<LeaseManager>(Settings, self, hooksOf(host), hooks);
     Current[name] = &host;
     return host;
   }
 
-  void pause(LeaseHost &host) {
+  void pause(FleetHost &host) {
     if (std::exchange(host.Paused, true))
       return;
     host.PausedAt = Time.now();
   }
 
-  void wake(LeaseHost &host) {
+  void resume(FleetHost &host) {
     if (!std::exchange(host.Paused, false))
       return;
-    host.LostToPauses += Time.now() - host.PausedAt;
-    // A thawed process believes what it believed when it stopped.
-    check();
-    auto waiting = std::move(host.Waiting);
-    host.Waiting.clear();
-    for (auto &call : waiting)
+    host.PausedFor += Time.now() - host.PausedAt;
+    // A resumed process has the state from before the pause.
+    checkInvariants();
+    auto delayed = std::move(host.DelayedCalls);
+    host.DelayedCalls.clear();
+    for (auto &call : delayed)
       call();
   }
 
-  void kill(LeaseHost &host) {
+  void kill(FleetHost &host) {
     host.Dead = true;
-    host.Waiting.clear();
+    host.DelayedCalls.clear();
   }
 
-  /// Runs rounds, and checks the promises every 50 ms.
+  /// Runs rounds, and checks the invariants every 50 ms.
   void run(Span span) {
     constexpr Span step = std::chrono::milliseconds(50);
     for (Span it{}; it < span; it += step) {
@@ -129,18 +132,18 @@
         NextRound = Time.now() + RoundInterval;
         for (auto &host : Hosts) {
           if (!host->Dead && !host->Paused)
-            host->Keeper->round(Cells);
+            host->Manager->round(Cells);
         }
       }
       Time.advance(step);
-      check();
+      checkInvariants();
     }
   }
 
   /// The host that holds the cell; null if there is none.
-  LeaseHost *holder(const std::string &cell) {
+  FleetHost *holder(const std::string &cell) {
     for (auto &host : Hosts) {
-      if (!host->Dead && host->Keeper->holds(cell))
+      if (!host->Dead && host->Manager->holds(cell))
         return host.get();
     }
     return nullptr;
@@ -156,33 +159,34 @@
     return out;
   }
 
-  void check() {
-    if (!Checks)
+  void checkInvariants() {
+    if (!ChecksEnabled)
       return;
     for (const auto &cell : Cells) {
       int holders = 0;
       for (auto &host : Hosts) {
-        if (host->Dead || !host->Keeper->holds(cell))
+        if (host->Dead || !host->Manager->holds(cell))
           continue;
         ++holders;
-        // No host ever holds at an epoch that another has held, or below.
-        auto held = std::pair(host->Keeper->fenceOf(cell), host.get());
-        auto &last = LastHeld[cell];
+        // No host holds a cell at an epoch that another host has held it at,
+        // or at a lower one.
+        auto held = std::pair(host->Manager->fenceOf(cell), host.get());
+        auto &last = LastHeldEpochs[cell];
         if (held.first < last.first ||
             (held.first == last.first && held.second != last.second))
-          Broken.push_back("held epoch did not rise: " + cell);
+          Violations.push_back("held epoch did not rise: " + cell);
         last = held;
       }
       if (holders > 1)
-        Broken.push_back("two holders: " + cell);
+        Violations.push_back("two holders: " + cell);
     }
   }
 
 private:
-  Instant clock(const LeaseHost &host) const {
+  Instant clock(const FleetHost &host) const {
     Span run = Time.now();
     if (!Switches.ClockRunsInPause) {
-      run -= host.LostToPauses;
+      run -= host.PausedFor;
       if (host.Paused)
         run -= Time.now() - host.PausedAt;
     }
@@ -191,18 +195,18 @@
   }
 
   template <typename T>
-  TableCallback<T> guard(LeaseHost &host, TableCallback<T> done) {
+  TableCallback<T> wrapCallback(FleetHost &host, TableCallback<T> done) {
     return [&host, done](tl::expected<T, TableError> result) {
       if (host.Dead)
         return;
       if (host.Paused)
-        host.Waiting.push_back([done, result] { done(result); });
+        host.DelayedCalls.push_back([done, result] { done(result); });
       else
         done(std::move(result));
     };
   }
 
-  TableHooks hooksOf(LeaseHost &host) {
+  TableHooks hooksOf(FleetHost &host) {
     auto inner = Table.hooks();
     TableHooks hooks;
     hooks.Get = [this, inner, &host](std::string key, auto done) {
@@ -210,10 +214,10 @@
       if (!Switches.ReadBack && key.starts_with("cell/"))
         return Time.after(
             Span(1), [done] { done(tl::unexpected(TableError::NotSent)); });
-      inner.Get(key, guard<std::optional<TableRow>>(host, done));
+      inner.Get(key, wrapCallback<std::optional<TableRow>>(host, done));
     };
     hooks.Scan = [this, inner, &host](std::string prefix, auto done) {
-      inner.Scan(prefix, guard<std::vector<TableRow>>(host, done));
+      inner.Scan(prefix, wrapCallback<std::vector<TableRow>>(host, done));
     };
     hooks.Commit = [this, inner, &host](TableTransaction transaction,
                                         TableCallback<std::uint64_t> done) {
@@ -231,7 +235,7 @@
         auto it = Table.Rows.find(first.Key);
         first.ExpectedVersion = it == Table.Rows.end() ? 0 : it->second.Version;
       }
-      inner.Commit(transaction, guard<std::uint64_t>(host, done));
+      inner.Commit(transaction, wrapCallback<std::uint64_t>(host, done));
     };
     return hooks;
   }
@@ -240,19 +244,19 @@
     for (const auto &write : transaction.Writes) {
       if (!write.Key.starts_with("cell/") || !write.Value)
         continue;
-      auto row = lease_rows::readCell(*write.Value);
-      auto &last = LastWritten[write.Key];
+      auto row = lease_rows::parseCell(*write.Value);
+      auto &last = LastWrittenEpochs[write.Key];
       bool claimed = !row->Value.Owner.empty();
       if (claimed ? row->Value.Fence <= last : row->Value.Fence < last)
-        Broken.push_back("written epoch did not rise: " + write.Key);
+        Violations.push_back("written epoch did not rise: " + write.Key);
       last = row->Value.Fence;
     }
   }
 
   std::mt19937_64 Random;
   Instant NextRound{};
-  std::map<std::string, std::pair<Epoch, const LeaseHost *>> LastHeld;
-  std::map<std::string, Epoch> LastWritten;
+  std::map<std::string, std::pair<Epoch, const FleetHost *>> LastHeldEpochs;
+  std::map<std::string, Epoch> LastWrittenEpochs;
 };
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Lease/LeasePropertyTest.cpp
+++ b/UnitTests/Coordination/Lease/LeasePropertyTest.cpp
@@ -13,7 +13,7 @@
 /// What a step of a schedule does to the fleet.
 enum class Fault : std::uint8_t {
   Pause,
-  Wake,
+  Resume,
   Kill,
   Restart,
   RestartBesidePaused,
@@ -49,7 +49,7 @@
 
 void restart(LeaseFleet &fleet, const std::string &name) {
   auto &host = fleet.start(name);
-  host.Keeper->round(fleet.Cells);
+  host.Manager->round(fleet.Cells);
 }
 
 void apply(LeaseFleet &fleet, const Step &step) {
@@ -59,9 +59,9 @@
   case Fault::Pause:
     fleet.pause(host);
     break;
-  case Fault::Wake:
+  case Fault::Resume:
     for (auto &it : fleet.Hosts)
-      fleet.wake(*it);
+      fleet.resume(*it);
     break;
   case Fault::Kill:
     fleet.kill(host);
@@ -82,7 +82,7 @@
     break;
   case Fault::Release:
     if (!host.Paused && !host.Dead)
-      host.Keeper->release([] {});
+      host.Manager->release([] {});
     break;
   case Fault::Nothing:
     break;
@@ -90,9 +90,10 @@
   fleet.run(std::chrono::milliseconds(step.WaitMs));
 }
 
-/// A fleet that saw the schedule, and then has a whole minute without faults.
-void live(LeaseFleet &fleet, const std::vector<Step> &schedule,
-          const TableFaults &faults) {
+/// Runs a schedule on a fleet, then restarts all hosts and runs 40 s without
+/// faults.
+void runSchedule(LeaseFleet &fleet, const std::vector<Step> &schedule,
+                 const TableFaults &faults) {
   for (const auto *name : Names)
     fleet.start(name);
   fleet.run(2s);
@@ -102,7 +103,7 @@
   fleet.Table.Faults = {};
   fleet.Table.Down = false;
   for (auto &host : fleet.Hosts)
-    fleet.wake(*host);
+    fleet.resume(*host);
   for (const auto *name : Names)
     fleet.kill(*fleet.Current[name]);
   for (const auto *name : Names)
@@ -120,8 +121,8 @@
   return faults;
 }
 
-/// Runs a fixed set of schedules; how many broke a promise.
-int broken(LeaseSettings settings, FleetSwitches switches, int count) {
+/// Runs a fixed set of schedules and returns how many had a violation.
+int countViolations(LeaseSettings settings, FleetSwitches switches, int count) {
   int out = 0;
   for (int seed = 1; seed <= count; ++seed) {
     std::mt19937_64 random(seed);
@@ -134,62 +135,63 @@
     faults.LoseAnswer = 0.2;
     faults.Late = 0.2;
     faults.MaxDelay = 1s;
-    live(fleet, schedule, faults);
-    out += !fleet.Broken.empty();
+    runSchedule(fleet, schedule, faults);
+    out += !fleet.Violations.empty();
   }
   return out;
 }
 
 } // namespace
 
-TEST_CASE("no two keepers hold a cell and epochs rise", "[lease]") {
+TEST_CASE("no two nodes hold a cell and epochs rise under any faults",
+          "[lease]") {
   REQUIRE(checkMany("lease schedules", Schedules, [] {
     auto seed = *rc::gen::arbitrary<std::uint64_t>();
     auto faults = anyFaults();
     LeaseSettings settings;
     settings.ScanInterval = std::chrono::seconds(*rc::gen::element(0, 3, 60));
     LeaseFleet fleet(seed, settings);
-    // Short rounds leave no slack beside the margin.
+    // With short rounds no delay beyond the margin hides an error.
     fleet.RoundInterval = *rc::gen::element<Span>(1s, 1s, 200ms);
-    live(fleet, *anySchedule(), faults);
-    if (!fleet.Broken.empty())
-      RC_FAIL(fleet.Broken.front());
+    runSchedule(fleet, *anySchedule(), faults);
+    if (!fleet.Violations.empty())
+      RC_FAIL(fleet.Violations.front());
     if (settings.ScanInterval < settings.Duration)
       RC_ASSERT(fleet.unheld().empty());
   }));
 }
 
-TEST_CASE("switching a mechanism of the lease off breaks it", "[lease]") {
+TEST_CASE("disabling a condition of the lease causes violations", "[lease]") {
   constexpr int count = 60;
-  REQUIRE(broken({}, {}, count) == 0);
-  SECTION("a clock that stops with its host") {
-    FleetSwitches off;
-    off.ClockRunsInPause = false;
-    REQUIRE(broken({}, off, count) > 0);
+  REQUIRE(countViolations({}, {}, count) == 0);
+  SECTION("a clock stops while its host is paused") {
+    FleetSwitches switches;
+    switches.ClockRunsInPause = false;
+    REQUIRE(countViolations({}, switches, count) > 0);
   }
-  SECTION("an incarnation that a restart keeps") {
-    FleetSwitches off;
-    off.NewIncarnation = false;
-    REQUIRE(broken({}, off, count) > 0);
+  SECTION("a restarted host keeps its incarnation") {
+    FleetSwitches switches;
+    switches.NewIncarnation = false;
+    REQUIRE(countViolations({}, switches, count) > 0);
   }
-  SECTION("a table that does not compare") {
-    FleetSwitches off;
-    off.CompareAndSet = false;
-    REQUIRE(broken({}, off, count) > 0);
+  SECTION("the table does not compare versions") {
+    FleetSwitches switches;
+    switches.CompareAndSet = false;
+    REQUIRE(countViolations({}, switches, count) > 0);
   }
-  SECTION("clocks that drift apart by more than the margin") {
-    auto holdersAt = [](double holder, double taker) {
+  SECTION("clocks drift apart by more than the margin") {
+    auto isSafeAtRates = [](double holder, double successor) {
       LeaseFleet fleet(1);
       auto &first = fleet.start("entry-1");
       first.Rate = holder;
       fleet.run(3s);
-      fleet.start("entry-2").Rate = taker;
+      fleet.start("entry-2").Rate = successor;
       fleet.run(1s);
       fleet.pause(first);
       fleet.run(30s);
-      return fleet.Broken.empty();
+      return fleet.Violations.empty();
     };
-    REQUIRE(holdersAt(0.901, 1.099));
-    REQUIRE_FALSE(holdersAt(0.7, 1.3));
+    REQUIRE(isSafeAtRates(0.901, 1.099));
+    REQUIRE_FALSE(isSafeAtRates(0.7, 1.3));
   }
 }
--- a/UnitTests/Coordination/Lease/LeaseLookTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseRefreshTest.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Three nodes whose scans are so rare that nobody learns anything by them,
-/// and the one that holds the first cell.
-LeaseHost &startRareScans(LeaseFleet &fleet) {
+/// Starts three nodes that scan too rarely to affect the test, and returns the
+/// one that holds the first cell.
+FleetHost &startRareScans(LeaseFleet &fleet) {
   fleet.Switches.Drift = 0;
   fleet.RoundInterval = 250ms;
   for (const char *name : {"entry-1", "entry-2", "entry-3"})
@@ -27,43 +27,43 @@
 
 } // namespace
 
-TEST_CASE("a node that is told of a released cell takes it at once",
+TEST_CASE("refreshCell claims a released cell without waiting for a scan",
           "[lease]") {
   LeaseFleet fleet(1, rareScans());
   auto &owner = startRareScans(fleet);
-  owner.Keeper->release([] {});
+  owner.Manager->release([] {});
   fleet.run(50ms);
   REQUIRE_FALSE(fleet.unheld().empty());
-  bool told = GENERATE(true, false);
+  bool refreshes = GENERATE(true, false);
   for (auto &host : fleet.Hosts) {
     for (const auto &cell : fleet.unheld()) {
-      if (told && host.get() != &owner)
-        host->Keeper->refreshCell(cell);
+      if (refreshes && host.get() != &owner)
+        host->Manager->refreshCell(cell);
     }
   }
   fleet.run(100ms);
-  REQUIRE(fleet.unheld().empty() == told);
-  REQUIRE(fleet.Broken.empty());
+  REQUIRE(fleet.unheld().empty() == refreshes);
+  REQUIRE(fleet.Violations.empty());
 }
 
-TEST_CASE("a node that is told of a takeover knows the new owner at once",
+TEST_CASE("refreshCell finds a cell's new owner without waiting for a scan",
           "[lease]") {
   LeaseFleet fleet(1, rareScans());
   auto &owner = startRareScans(fleet);
   auto cell = fleet.Cells.front();
   auto reader = &owner == fleet.Current["entry-1"] ? "entry-2" : "entry-1";
-  auto former = fleet.Current[reader]->Keeper->ownerOf(cell)->Name;
+  auto former = fleet.Current[reader]->Manager->ownerOf(cell)->Name;
   fleet.kill(owner);
   while (!fleet.holder(cell))
     fleet.run(50ms);
   auto &others = fleet.Current;
   for (const auto &[name, host] : others) {
     if (host != &owner)
-      host->Keeper->refreshCell(cell);
+      host->Manager->refreshCell(cell);
   }
   fleet.run(50ms);
   for (const auto &[name, host] : others) {
     if (host != &owner)
-      REQUIRE(host->Keeper->ownerOf(cell)->Name != former);
+      REQUIRE(host->Manager->ownerOf(cell)->Name != former);
   }
 }
--- a/UnitTests/Coordination/Lease/LeaseThreadsTest.cpp
+++ b/UnitTests/Coordination/Lease/LeaseThreadsTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A table that answers on the caller's thread.
+/// A table that calls back on the caller's thread, before the call returns.
 class DirectTable {
 public:
   TableHooks hooks() {
@@ -71,7 +71,8 @@
 
 } // namespace
 
-TEST_CASE("a lease keeper serves several threads at once", "[lease]") {
+TEST_CASE("a lease manager can be called from several threads at once",
+          "[lease]") {
   DirectTable table;
   std::atomic<std::int64_t> clock = 1'000'000'000;
   std::atomic<int> owned = 0;
@@ -79,30 +80,30 @@
   hooks.Now = [&] { return Instant(clock += 100); };
   hooks.OnOwned = [&](const auto &, Epoch) { ++owned; };
   hooks.OnLost = [&](const auto &) { --owned; };
-  auto keeper = std::make_shared<LeaseManager>(
+  auto manager = std::make_shared<LeaseManager>(
       LeaseSettings{}, NodeRecord{"a", "i", "", "", "", false}, table.hooks(),
       hooks);
   std::vector<std::string> cells{"x", "y", "z"};
   onThreads(200, [&](int thread) {
     if (thread < 2)
-      keeper->round(cells);
-    keeper->onNodeRow({{"b", "j", "", "", "", false}, 1});
-    keeper->holds("x");
-    keeper->nodes();
-    keeper->ownerOf("y");
+      manager->round(cells);
+    manager->onNodeRow({{"b", "j", "", "", "", false}, 1});
+    manager->holds("x");
+    manager->nodes();
+    manager->ownerOf("y");
   });
-  keeper->round(cells);
+  manager->round(cells);
   REQUIRE(owned == 3);
-  keeper->release([] {});
+  manager->release([] {});
   REQUIRE(owned == 0);
 }
 
-TEST_CASE("claims of several threads are each answered once", "[claim]") {
+TEST_CASE("each claim of several threads is answered once", "[claim]") {
   DirectTable table;
   ClaimHooks hooks;
   hooks.WallMs = [] { return 1000; };
   hooks.After = [](Span, const auto &call) { call(); };
-  auto book =
+  auto store =
       std::make_shared<ClaimStore>(ClaimSettings{}, "a", table.hooks(), hooks);
   std::atomic<int> answers = 0;
   std::atomic<int> claimed = 0;
@@ -110,12 +111,12 @@
   onThreads(200, [&](int thread) {
     // All threads use the same 200 keys.
     auto key = std::to_string(next[thread]++);
-    book->claim({"s", key, "body", "r"}, [&](const ClaimAnswer &answer) {
+    store->claim({"s", key, "body", "r"}, [&](const ClaimAnswer &answer) {
       ++answers;
       if (answer.Result != ClaimResult::Claimed)
         return;
       ++claimed;
-      book->record(answer.Ticket, Outcome::Complete);
+      store->record(answer.Ticket, Outcome::Complete);
     });
   });
   REQUIRE(answers == 800);
--- a/UnitTests/Coordination/LeaseManagerTest.cpp
+++ b/UnitTests/Coordination/LeaseManagerTest.cpp
@@ -7,7 +7,7 @@
 using namespace hemlockglade::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("one node takes the cells and holds them", "[lease]") {
+TEST_CASE("a single node claims the cells and holds them", "[lease]") {
   VirtualTime time;
   FakeTable table(time, 1);
   LeaseHooks hooks;
@@ -18,13 +18,13 @@
   };
   hooks.OnLost = [](const std::string &) {};
   NodeRecord self{"entry-1", "a", "127.0.0.1:1", "127.0.0.1:2", "hall-a"};
-  auto keeper = std::make_shared<LeaseManager>(LeaseSettings{}, self,
-                                               table.hooks(), hooks);
+  auto manager = std::make_shared<LeaseManager>(LeaseSettings{}, self,
+                                                table.hooks(), hooks);
   for (int it = 0; it < 3; ++it) {
-    keeper->round({"assistant/0"});
+    manager->round({"assistant/0"});
     time.advance(1s);
   }
   REQUIRE(owned == std::vector<std::string>{"assistant/0"});
-  REQUIRE(keeper->holds("assistant/0"));
-  REQUIRE(keeper->fenceOf("assistant/0") == 1);
+  REQUIRE(manager->holds("assistant/0"));
+  REQUIRE(manager->fenceOf("assistant/0") == 1);
 }
