--- a/Hemlockglade/Coordination/Recovery/RecoveryCoordinator.cpp
+++ b/Hemlockglade/Coordination/Recovery/RecoveryCoordinator.cpp
@@ -20,20 +20,21 @@
                                 bool allChecked, Instant now) {
   {
     std::lock_guard lock(Mutex);
-    auto &ours = Cells[cell];
-    if (ours.At >= epoch)
+    auto &state = Cells[cell];
+    if (state.OwnerEpoch >= epoch)
       return;
-    ours = {};
-    ours.At = epoch;
-    ours.Wait = allChecked ? Settings.SilentWait : Settings.UnfencedWait;
+    state = {};
+    state.OwnerEpoch = epoch;
+    state.MaxWait = allChecked ? Settings.SilentWait : Settings.UnfencedWait;
     for (const auto &node : nodes) {
-      auto [it, added] = ours.Nodes.try_emplace(keyOf(node), OfNode(node, now));
+      auto [it, added] =
+          state.Nodes.try_emplace(keyOf(node), NodeRecovery(node, now));
       if (added)
-        ask(it->second, cell, ours, now);
+        queueQuery(it->second, cell, state, now);
     }
-    settle(cell, ours);
+    completeIfResolved(cell, state);
   }
-  deliver();
+  runPendingCalls();
 }
 
 void RecoveryCoordinator::end(const std::string &cell) {
@@ -51,29 +52,31 @@
     for (auto &[name, cell] : Cells) {
       for (const auto &node : nodes) {
         auto [it, added] =
-            cell.Nodes.try_emplace(keyOf(node), OfNode(node, now));
-        it->second.Lost = false;
+            cell.Nodes.try_emplace(keyOf(node), NodeRecovery(node, now));
+        it->second.Absent = false;
         if (added)
-          ask(it->second, name, cell, now);
+          queueQuery(it->second, name, cell, now);
       }
       for (auto &[key, node] : cell.Nodes) {
-        if (live.contains(key) || node.Lost)
+        if (live.contains(key) || node.Absent)
           continue;
-        node.Lost = true;
-        if (node.Settled)
+        node.Absent = true;
+        if (node.Resolved)
           node.Since = now;
       }
     }
   }
-  deliver();
+  runPendingCalls();
 }
 
-void RecoveryCoordinator::ask(OfNode &node, const std::string &name,
-                              const OfCell &cell, Instant now) {
-  node.AskedAt = now;
-  Calls.emplace_back([this, to = node.Node, name, epoch = cell.At] {
-    Hooks.Ask(to, name, epoch);
-  });
+void RecoveryCoordinator::queueQuery(NodeRecovery &node,
+                                     const std::string &name,
+                                     const CellRecovery &cell, Instant now) {
+  node.QueriedAt = now;
+  PendingCalls.emplace_back(
+      [this, to = node.Node, name, epoch = cell.OwnerEpoch] {
+        Hooks.Query(to, name, epoch);
+      });
 }
 
 bool RecoveryCoordinator::onAnswer(const RecoveryNode &node,
@@ -82,36 +85,38 @@
   {
     std::lock_guard lock(Mutex);
     auto it = Cells.find(cell);
-    if (it == Cells.end() || it->second.At != epoch)
+    if (it == Cells.end() || it->second.OwnerEpoch != epoch)
       return false;
-    auto &ours = it->second;
+    auto &state = it->second;
     if (answer.Refused || answer.Promised > epoch) {
-      ours.Superseded = true;
+      state.Superseded = true;
       return false;
     }
-    auto &from = ours.Nodes.try_emplace(keyOf(node), OfNode(node, Instant()))
-                     .first->second;
-    // A second answer can only repeat what has ended since the first.
+    auto &from =
+        state.Nodes.try_emplace(keyOf(node), NodeRecovery(node, Instant()))
+            .first->second;
+    // A second answer is ignored: it lists only requests that the first one
+    // listed too, some of which may have ended since.
     if (!std::exchange(from.Answered, true)) {
       for (const auto &request : answer.Requests)
         adopt(from, request, epoch);
-      from.Ended.clear();
+      from.EndedEarly.clear();
     }
-    from.Settled = true;
-    settle(cell, ours);
+    from.Resolved = true;
+    completeIfResolved(cell, state);
   }
-  deliver();
+  runPendingCalls();
   return true;
 }
 
-void RecoveryCoordinator::adopt(OfNode &node, const RegisteredRequest &request,
-                                Epoch epoch) {
-  // What we admitted ourselves is known already.
-  if (request.Admitted >= epoch || node.Ended.contains(request.Id))
+void RecoveryCoordinator::adopt(NodeRecovery &node,
+                                const RegisteredRequest &request, Epoch epoch) {
+  // Requests that this owner admitted are known already.
+  if (request.Admitted >= epoch || node.EndedEarly.contains(request.Id))
     return;
   if (!node.Adopted.emplace(request.Id, request).second)
     return;
-  Calls.emplace_back(
+  PendingCalls.emplace_back(
       [this, from = node.Node, request] { Hooks.OnAdopted(from, request); });
 }
 
@@ -129,14 +134,14 @@
     auto adopted = from->second.Adopted.find(id);
     if (adopted == from->second.Adopted.end()) {
       if (!from->second.Answered)
-        from->second.Ended.insert(id);
+        from->second.EndedEarly.insert(id);
       return;
     }
-    Calls.emplace_back(
+    PendingCalls.emplace_back(
         [this, request = adopted->second] { Hooks.OnFinished(request); });
     from->second.Adopted.erase(adopted);
   }
-  deliver();
+  runPendingCalls();
 }
 
 void RecoveryCoordinator::tick(Instant now) {
@@ -145,59 +150,62 @@
     for (auto &[name, cell] : Cells) {
       for (auto it = cell.Nodes.begin(); it != cell.Nodes.end();) {
         auto &node = it->second;
-        bool over = now - node.Since >= cell.Wait;
-        if (!node.Settled && over) {
-          node.Settled = true;
-          ++WaitedOut;
-        } else if (!node.Settled &&
-                   now - node.AskedAt >= Settings.AskInterval) {
-          ask(node, name, cell, now);
+        bool expired = now - node.Since >= cell.MaxWait;
+        if (!node.Resolved && expired) {
+          node.Resolved = true;
+          ++TimedOutNodes;
+        } else if (!node.Resolved &&
+                   now - node.QueriedAt >= Settings.QueryInterval) {
+          queueQuery(node, name, cell, now);
         }
-        if (node.Settled && node.Lost && over) {
-          dropLost(node);
+        if (node.Resolved && node.Absent && expired) {
+          finishAdopted(node);
           it = cell.Nodes.erase(it);
         } else {
           ++it;
         }
       }
-      settle(name, cell);
+      completeIfResolved(name, cell);
     }
   }
-  deliver();
+  runPendingCalls();
 }
 
-void RecoveryCoordinator::dropLost(OfNode &node) {
+void RecoveryCoordinator::finishAdopted(NodeRecovery &node) {
   for (const auto &[id, request] : node.Adopted)
-    Calls.emplace_back(
+    PendingCalls.emplace_back(
         [this, request = request] { Hooks.OnFinished(request); });
 }
 
-void RecoveryCoordinator::settle(const std::string &name, OfCell &cell) {
+void RecoveryCoordinator::completeIfResolved(const std::string &name,
+                                             CellRecovery &cell) {
   if (cell.Recovered || cell.Superseded)
     return;
-  bool waits = std::any_of(cell.Nodes.begin(), cell.Nodes.end(),
-                           [](const auto &it) { return !it.second.Settled; });
-  if (waits)
+  bool unresolved =
+      std::any_of(cell.Nodes.begin(), cell.Nodes.end(),
+                  [](const auto &it) { return !it.second.Resolved; });
+  if (unresolved)
     return;
   cell.Recovered = true;
-  Calls.emplace_back(
-      [this, name, epoch = cell.At] { Hooks.OnRecovered(name, epoch); });
+  PendingCalls.emplace_back([this, name, epoch = cell.OwnerEpoch] {
+    Hooks.OnRecovered(name, epoch);
+  });
 }
 
 LeaseMode RecoveryCoordinator::mode(const std::string &cell,
                                     LeaseMode lease) const {
   if (lease != LeaseMode::Held)
     return lease;
-  return recovered(cell) ? LeaseMode::Held : LeaseMode::Recovering;
+  return isRecovered(cell) ? LeaseMode::Held : LeaseMode::Recovering;
 }
 
-void RecoveryCoordinator::deliver() {
+void RecoveryCoordinator::runPendingCalls() {
   std::unique_lock lock(Mutex);
   if (std::exchange(Delivering, true))
     return;
-  while (!Calls.empty()) {
-    auto call = std::move(Calls.front());
-    Calls.pop_front();
+  while (!PendingCalls.empty()) {
+    auto call = std::move(PendingCalls.front());
+    PendingCalls.pop_front();
     lock.unlock();
     call();
     lock.lock();
@@ -205,29 +213,29 @@
   Delivering = false;
 }
 
-bool RecoveryCoordinator::recovered(const std::string &cell) const {
+bool RecoveryCoordinator::isRecovered(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   auto it = Cells.find(cell);
   return it != Cells.end() && it->second.Recovered && !it->second.Superseded;
 }
 
 std::vector<std::string>
-RecoveryCoordinator::waitingFor(const std::string &cell) const {
+RecoveryCoordinator::unresolvedNodes(const std::string &cell) const {
   std::lock_guard lock(Mutex);
   std::vector<std::string> out;
   auto it = Cells.find(cell);
   if (it == Cells.end())
     return out;
   for (const auto &[key, node] : it->second.Nodes) {
-    if (!node.Settled)
+    if (!node.Resolved)
       out.push_back(node.Node.Name);
   }
   return out;
 }
 
-std::uint64_t RecoveryCoordinator::waitedOut() const {
+std::uint64_t RecoveryCoordinator::timedOutNodes() const {
   std::lock_guard lock(Mutex);
-  return WaitedOut;
+  return TimedOutNodes;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Coordination/Recovery/RecoveryCoordinator.h
+++ b/Hemlockglade/Coordination/Recovery/RecoveryCoordinator.h
@@ -12,117 +12,123 @@
 /// A process that may run requests of a cell.
 struct RecoveryNode {
   std::string Name;
-  /// Of its lease; the process's part counts.
+  /// Incarnation of its lease; only the part of the process is compared.
   std::string Incarnation;
 };
 
-/// Times of a recovery.
+/// Timeouts and intervals of a recovery.
 struct RecoverySettings {
-  /// How long a node that does not answer is waited for: lease + margin.
+  /// How long to wait for a node that does not answer: lease and margin.
   Span SilentWait = std::chrono::seconds(11);
-  /// The same for a cell with engines that do not check the fencing number.
+  /// The same for a cell with engines that don't check the fencing number.
   Span UnfencedWait = std::chrono::seconds(30);
-  /// Time between two questions to a node that does not answer.
-  Span AskInterval = std::chrono::seconds(1);
+  /// Time between two queries to a node that does not answer.
+  Span QueryInterval = std::chrono::seconds(1);
 };
 
-/// What the keeper asks of its node and tells it. Calls come one at a
-/// time and in order, outside the lock.
+/// Callbacks of RecoveryCoordinator. They are called one at a time and in
+/// order, without the coordinator's lock held.
 struct RecoveryHooks {
-  /// Asks a node for its running requests of the cell; answer by `onAnswer`.
+  /// Queries a node for its running requests of the cell; the answer is passed
+  /// to `onAnswer`.
   std::function<void(const RecoveryNode &node, const std::string &cell,
                      Epoch epoch)>
-      Ask;
-  /// A request of an earlier owner runs: count it as ours.
+      Query;
+  /// Called when a request that an earlier owner admitted is running: it must
+  /// be counted like those of this owner.
   std::function<void(const RecoveryNode &node,
                      const RegisteredRequest &request)>
       OnAdopted;
-  /// An adopted request has ended.
+  /// Called when an adopted request has ended.
   std::function<void(const RegisteredRequest &request)> OnFinished;
-  /// All that runs is known, or was waited out: eviction is allowed.
+  /// Called when every node has answered or has timed out, so that eviction is
+  /// allowed.
   std::function<void(const std::string &cell, Epoch epoch)> OnRecovered;
 };
 
-/// Recovery before eviction: after a takeover, asks every node for what it
-/// runs of the cell, and says when all of it is known. Time comes with the
-/// calls. Safe to call from several threads.
+/// Recovery before eviction: after a takeover, queries every node for its
+/// running requests of the cell, and reports when all of them are known. Time
+/// is passed in. Thread-safe.
 class RecoveryCoordinator {
 public:
   RecoveryCoordinator(const RecoverySettings &settings, RecoveryHooks hooks);
 
-  /// The cell is ours at the epoch. `nodes` are all that may run something of
-  /// it: those alive, and the former owner. `allChecked` if all its engines
-  /// check the fencing number.
+  /// Starts the recovery of a cell that this node owns at `epoch`. `nodes` are
+  /// all that may run requests of it: the live ones and the former owner.
+  /// `allChecked` is true if all its engines check the fencing number.
   void begin(const std::string &cell, Epoch epoch,
              const std::vector<RecoveryNode> &nodes, bool allChecked,
              Instant now);
-  /// The cell isn't ours any more.
+  /// Called when this node has ceased to own the cell.
   void end(const std::string &cell);
-  /// The nodes that live now: new ones are asked, and what lost ones ran ends
-  /// after their wait.
+  /// Sets the live nodes. New ones are queried; the adopted requests of those
+  /// that are missing are treated as ended after the cell's wait.
   void setNodes(const std::vector<RecoveryNode> &nodes, Instant now);
-  /// A node's answer, or what it registered by itself. False if it is not for
-  /// our epoch: the node must not think its requests known.
+  /// Called with a node's answer, or with requests that it registered without a
+  /// query. Returns false if it is not for this owner's epoch: the node must
+  /// then not treat its requests as known.
   bool onAnswer(const RecoveryNode &node, const std::string &cell, Epoch epoch,
                 const RunningAnswer &answer);
-  /// A node says that a request has ended. It may come before the answer that
-  /// names the request.
+  /// Called when a node reports that a request has ended, which may be before
+  /// its answer that lists the request.
   void onFinished(const RecoveryNode &node, const std::string &cell,
                   const std::string &id);
-  /// Asks again, and ends waits that are over.
+  /// Repeats queries that are due, and ends waits that have timed out.
   void tick(Instant now);
 
-  /// What the cell's core may do, given the state of the lease.
+  /// Mode of the cell's core, given the mode of the lease.
   LeaseMode mode(const std::string &cell, LeaseMode lease) const;
-  bool recovered(const std::string &cell) const;
-  /// Names of the nodes that the cell still waits for.
-  std::vector<std::string> waitingFor(const std::string &cell) const;
-  /// How many nodes were waited out without an answer, since the start.
-  std::uint64_t waitedOut() const;
+  bool isRecovered(const std::string &cell) const;
+  /// Names of the nodes that the cell's recovery still waits for.
+  std::vector<std::string> unresolvedNodes(const std::string &cell) const;
+  /// How many nodes have timed out without an answer since the start.
+  std::uint64_t timedOutNodes() const;
 
 private:
-  /// A node as one cell sees it.
-  struct OfNode {
-    OfNode(RecoveryNode node, Instant now)
-        : Node(std::move(node)), Since(now), AskedAt(now) {}
+  /// The state of a node in the recovery of one cell.
+  struct NodeRecovery {
+    NodeRecovery(RecoveryNode node, Instant now)
+        : Node(std::move(node)), Since(now), QueriedAt(now) {}
 
     RecoveryNode Node;
+    /// Start of the wait: when the node was added, or, if it had been resolved,
+    /// when it became absent.
     Instant Since;
-    Instant AskedAt;
-    /// It has answered, or was waited out.
-    bool Settled = false;
+    Instant QueriedAt;
+    /// The node has answered or timed out.
+    bool Resolved = false;
     bool Answered = false;
-    /// The node is not among the living since `Since`.
-    bool Lost = false;
+    /// The node is not among the live nodes.
+    bool Absent = false;
     std::map<std::string, RegisteredRequest> Adopted;
-    /// Ended before the answer that may name them.
-    std::set<std::string> Ended;
+    /// Ids of requests that ended before the answer that may list them.
+    std::set<std::string> EndedEarly;
   };
-  struct OfCell {
-    Epoch At = 0;
-    Span Wait{};
+  struct CellRecovery {
+    Epoch OwnerEpoch = 0;
+    Span MaxWait{};
     bool Recovered = false;
-    /// A node has answered a later owner.
+    /// A node has answered an owner of a later epoch.
     bool Superseded = false;
-    std::map<std::string, OfNode> Nodes;
+    std::map<std::string, NodeRecovery> Nodes;
   };
 
   static std::string keyOf(const RecoveryNode &node);
-  void ask(OfNode &node, const std::string &name, const OfCell &cell,
-           Instant now);
-  void settle(const std::string &name, OfCell &cell);
-  void adopt(OfNode &node, const RegisteredRequest &request, Epoch epoch);
-  void dropLost(OfNode &node);
-  void deliver();
+  void queueQuery(NodeRecovery &node, const std::string &name,
+                  const CellRecovery &cell, Instant now);
+  void completeIfResolved(const std::string &name, CellRecovery &cell);
+  void adopt(NodeRecovery &node, const RegisteredRequest &request, Epoch epoch);
+  void finishAdopted(NodeRecovery &node);
+  void runPendingCalls();
 
   const RecoverySettings Settings;
   const RecoveryHooks Hooks;
 
   mutable std::mutex Mutex;
-  std::map<std::string, OfCell> Cells;
-  std::uint64_t WaitedOut = 0;
-  /// Calls of hooks, in their order.
-  std::deque<std::function<void()>> Calls;
+  std::map<std::string, CellRecovery> Cells;
+  std::uint64_t TimedOutNodes = 0;
+  /// Calls of hooks that are still to be made, in order.
+  std::deque<std::function<void()>> PendingCalls;
   bool Delivering = false;
 };
 
--- a/Hemlockglade/Coordination/Recovery/RunningRequests.cpp
+++ b/Hemlockglade/Coordination/Recovery/RunningRequests.cpp
@@ -28,14 +28,14 @@
 RunningAnswer RunningRequests::answer(const std::string &cell, Epoch epoch) {
   auto &shard = shardOf(cell);
   std::lock_guard lock(shard.Mutex);
-  auto &ours = shard.Cells[cell];
+  auto &state = shard.Cells[cell];
   RunningAnswer out;
-  out.Refused = epoch < ours.Promised;
-  ours.Promised = std::max(ours.Promised, epoch);
-  out.Promised = ours.Promised;
+  out.Refused = epoch < state.Promised;
+  state.Promised = std::max(state.Promised, epoch);
+  out.Promised = state.Promised;
   if (out.Refused)
     return out;
-  for (const auto &[id, request] : ours.Requests)
+  for (const auto &[id, request] : state.Requests)
     out.Requests.push_back(request);
   return out;
 }
--- a/Hemlockglade/Coordination/Recovery/RunningRequests.h
+++ b/Hemlockglade/Coordination/Recovery/RunningRequests.h
@@ -9,7 +9,7 @@
 
 namespace hemlockglade {
 
-/// A request that this node runs on an endpoint.
+/// A request that a node runs on an endpoint.
 struct RegisteredRequest {
   std::string Id;
   std::string Cell;
@@ -20,40 +20,42 @@
   Epoch Admitted = 0;
 };
 
-/// What a node tells a cell's new owner.
+/// A node's answer to a cell's new owner.
 struct RunningAnswer {
-  /// The node has answered an owner of a later epoch: this one is not it.
+  /// The node has answered an owner of a later epoch, so that the one that
+  /// queried is no longer the owner.
   bool Refused = false;
-  /// Highest epoch that was answered.
+  /// Highest epoch of an owner that the node has answered.
   Epoch Promised = 0;
   std::vector<RegisteredRequest> Requests;
 };
 
-/// What runs from this node, by cell. Sharded by cell, each shard under its
-/// own lock. Once an owner of an epoch was answered, requests that an earlier
-/// owner admitted can't begin any more: the answer would not hold them.
+/// The requests that this node runs, by cell. Sharded by cell, each shard with
+/// its own lock. Once an owner has been answered, requests that an earlier
+/// owner admitted are refused, since the answer did not list them.
 class RunningRequests {
 public:
-  /// A request is about to be sent. False if it was admitted by an owner that
-  /// is not the last: then it must not be sent.
+  /// Adds a request that is about to be sent. Returns false if an owner of a
+  /// later epoch than the one that admitted it has been answered: the request
+  /// must then not be sent.
   bool add(RegisteredRequest request);
-  /// The request has ended.
+  /// Removes a request that has ended.
   void remove(const std::string &cell, const std::string &id);
-  /// Answers an owner at an epoch.
+  /// Returns the answer to a cell's owner of the given epoch.
   RunningAnswer answer(const std::string &cell, Epoch epoch);
-  /// How many requests run.
+  /// Number of running requests.
   std::size_t size() const;
 
 private:
   static constexpr std::size_t ShardCount = 16;
 
-  struct OfCell {
+  struct CellRequests {
     Epoch Promised = 0;
     std::map<std::string, RegisteredRequest> Requests;
   };
   struct Shard {
     mutable std::mutex Mutex;
-    std::map<std::string, OfCell> Cells;
+    std::map<std::string, CellRequests> Cells;
   };
 
   Shard &shardOf(const std::string &cell);
--- a/Programs/hemlockgladed/OwnedCells.cpp
+++ b/Programs/hemlockgladed/OwnedCells.cpp
@@ -22,8 +22,8 @@
 
 RecoveryHooks OwnedCells::recoveryHooks() {
   RecoveryHooks hooks;
-  hooks.Ask = [this](const RecoveryNode &node, const std::string &cell,
-                     Epoch fence) { Links->ask(node, cell, fence); };
+  hooks.Query = [this](const RecoveryNode &node, const std::string &cell,
+                       Epoch fence) { Links->ask(node, cell, fence); };
   hooks.OnAdopted = [this](const RecoveryNode &,
                            const RegisteredRequest &request) {
     if (auto runner = find(request.Cell))
--- a/UnitTests/Coordination/Recovery/RecoveryTest.cpp
+++ b/UnitTests/Coordination/Recovery/RecoveryTest.cpp
@@ -13,21 +13,22 @@
 constexpr int Schedules = 3000;
 const std::string Cell = "assistant/0";
 
-/// What a test may switch off, outside the product.
+/// Conditions that recovery relies on and that a test can disable.
 struct RecoverySwitches {
-  /// Entries obey a refusal of their register.
+  /// Entries don't run a request that RunningRequests refuses.
   bool ObeyRefusal = true;
   /// The owner waits for OnRecovered.
   bool WaitForRecovered = true;
-  /// Ends that come before their request's answer are passed on.
+  /// Ends of requests are passed on to the coordinator also when they come
+  /// before the answer that lists the request.
   bool PassEarlyEnds = true;
 };
 
-/// Entries that run requests, and owners that follow each other, with
-/// messages that are late and overtake each other.
-class RecoveryBench {
+/// Simulates entries that run requests, and owners that succeed each other,
+/// with messages that are delayed and reordered.
+class RecoverySimulation {
 public:
-  RecoveryBench(std::uint64_t seed, RecoverySwitches switches = {})
+  RecoverySimulation(std::uint64_t seed, RecoverySwitches switches = {})
       : Switches(switches), Random(seed), Entries(3) {
     for (std::size_t it = 0; it < Entries.size(); ++it)
       Nodes.push_back({"entry-" + std::to_string(it), "p.1"});
@@ -35,7 +36,7 @@
       Owners.push_back(makeOwner(epoch));
   }
 
-  /// An owner admits a request of an entry; the entry learns of it later.
+  /// Admits a request of an entry; the entry receives the admission later.
   void admit() {
     auto entry = Random() % Entries.size();
     auto id = std::to_string(++Requests);
@@ -44,23 +45,23 @@
     owner.Known.insert(id);
     after(1500ms, [this, entry, id, epoch, &owner] {
       RegisteredRequest request{id, Cell, "assistant-1", "a@1", epoch};
-      bool may = Entries[entry].add(request);
-      if (!may && Switches.ObeyRefusal) {
+      bool accepted = Entries[entry].add(request);
+      if (!accepted && Switches.ObeyRefusal) {
         owner.Known.erase(id);
         return;
       }
       Running.insert(id);
-      Time.after(any(6000ms), [this, entry, id] { finish(entry, id); });
+      Time.after(randomSpan(6000ms), [this, entry, id] { finish(entry, id); });
       check();
     });
   }
 
-  /// The next owner takes over.
+  /// Makes the next owner take over the cell.
   void takeOver() {
     if (Current >= Owners.size())
       return;
     auto &owner = *Owners[Current++];
-    owner.Keeper->begin(Cell, Current, Nodes, true, Time.now());
+    owner.Coordinator->begin(Cell, Current, Nodes, true, Time.now());
     tick(Current);
   }
 
@@ -71,33 +72,33 @@
     }
   }
 
-  bool recovered() const {
+  bool isRecovered() const {
     return Current == 1 || Owners[Current - 1]->Recovered ||
            !Switches.WaitForRecovered;
   }
 
-  /// The owner, once recovered, must know all that runs.
+  /// Checks that the current owner, once recovered, knows all running requests.
   void check() {
-    if (!recovered())
+    if (!isRecovered())
       return;
     for (const auto &id : Running) {
       if (!Owners[Current - 1]->Known.contains(id))
-        Broken = "runs unknown to its owner: " + id;
+        Violation = "runs unknown to its owner: " + id;
     }
   }
 
-  /// When nothing runs, the last owner must count nothing as running.
-  void checkQuiet() {
+  /// Checks, when no request runs, that the last owner counts none as running.
+  void checkNothingRuns() {
     if (!Owners[Current - 1]->Known.empty())
-      Broken = "counted though it has ended";
+      Violation = "counted though it has ended";
   }
 
-  std::string Broken;
+  std::string Violation;
   VirtualTime Time;
 
 private:
   struct Owner {
-    std::unique_ptr<RecoveryCoordinator> Keeper;
+    std::unique_ptr<RecoveryCoordinator> Coordinator;
     std::set<std::string> Known;
     bool Recovered = false;
   };
@@ -106,13 +107,13 @@
     auto out = std::make_unique<Owner>();
     auto *owner = out.get();
     RecoveryHooks hooks;
-    hooks.Ask = [this, epoch, owner](const RecoveryNode &node,
-                                     const std::string &, Epoch) {
+    hooks.Query = [this, epoch, owner](const RecoveryNode &node,
+                                       const std::string &, Epoch) {
       after(1500ms, [this, epoch, owner, node] {
         auto entry = static_cast<std::size_t>(node.Name.back() - '0');
         auto answer = Entries[entry].answer(Cell, epoch);
         after(1500ms, [owner, node, epoch, answer] {
-          owner->Keeper->onAnswer(node, Cell, epoch, answer);
+          owner->Coordinator->onAnswer(node, Cell, epoch, answer);
         });
       });
     };
@@ -125,7 +126,7 @@
     hooks.OnRecovered = [owner](const std::string &, Epoch) {
       owner->Recovered = true;
     };
-    out->Keeper =
+    out->Coordinator =
         std::make_unique<RecoveryCoordinator>(RecoverySettings{}, hooks);
     return out;
   }
@@ -137,23 +138,23 @@
       after(1500ms, [this, entry, id, &owner] {
         bool known = owner->Known.erase(id);
         if (known || Switches.PassEarlyEnds)
-          owner->Keeper->onFinished(Nodes[entry], Cell, id);
+          owner->Coordinator->onFinished(Nodes[entry], Cell, id);
       });
     }
   }
 
   void tick(Epoch epoch) {
-    Owners[epoch - 1]->Keeper->tick(Time.now());
+    Owners[epoch - 1]->Coordinator->tick(Time.now());
     if (Time.now() < 1100s)
       Time.after(500ms, [this, epoch] { tick(epoch); });
   }
 
-  Span any(Span most) {
-    return Span(static_cast<std::int64_t>(Random() % most.count()) + 1);
+  Span randomSpan(Span max) {
+    return Span(static_cast<std::int64_t>(Random() % max.count()) + 1);
   }
 
-  void after(Span most, std::function<void()> call) {
-    Time.after(any(most), std::move(call));
+  void after(Span max, std::function<void()> call) {
+    Time.after(randomSpan(max), std::move(call));
   }
 
   RecoverySwitches Switches;
@@ -166,47 +167,49 @@
   int Requests = 0;
 };
 
-/// Plays a schedule of waits: an admission after each, a takeover after some.
-std::string play(RecoveryBench &bench, const std::vector<int> &waits) {
+/// Runs a schedule of waits in ms: a takeover after each that is a multiple of
+/// five, an admission after each other. Returns the violation, empty if none.
+std::string runSchedule(RecoverySimulation &simulation,
+                        const std::vector<int> &waits) {
   for (auto wait : waits) {
-    bench.run(std::chrono::milliseconds(wait));
+    simulation.run(std::chrono::milliseconds(wait));
     if (wait % 5 == 0)
-      bench.takeOver();
+      simulation.takeOver();
     else
-      bench.admit();
+      simulation.admit();
   }
-  bench.run(30s);
-  bench.checkQuiet();
-  if (!bench.recovered())
-    bench.Broken = "never recovered";
-  return bench.Broken;
+  simulation.run(30s);
+  simulation.checkNothingRuns();
+  if (!simulation.isRecovered())
+    simulation.Violation = "never recovered";
+  return simulation.Violation;
 }
 
-int broken(RecoverySwitches switches) {
+int countViolations(RecoverySwitches switches) {
   int out = 0;
   for (int seed = 1; seed <= 100; ++seed) {
-    RecoveryBench bench(seed, switches);
+    RecoverySimulation simulation(seed, switches);
     std::mt19937_64 random(seed);
     std::vector<int> waits(20);
     for (auto &it : waits)
       it = static_cast<int>(random() % 1000);
-    out += !play(bench, waits).empty();
+    out += !runSchedule(simulation, waits).empty();
   }
   return out;
 }
 
-/// A keeper that notes its calls.
-struct Noted {
+/// A coordinator that records the calls of its hooks.
+struct RecordingCoordinator {
   std::vector<std::string> Calls;
-  RecoveryCoordinator Keeper;
+  RecoveryCoordinator Coordinator;
 
-  explicit Noted(const RecoverySettings &settings = {})
-      : Keeper(settings, hooks()) {}
+  explicit RecordingCoordinator(const RecoverySettings &settings = {})
+      : Coordinator(settings, hooks()) {}
 
   RecoveryHooks hooks() {
     RecoveryHooks hooks;
-    hooks.Ask = [this](const RecoveryNode &node, const auto &, Epoch) {
-      Calls.push_back("ask " + node.Name);
+    hooks.Query = [this](const RecoveryNode &node, const auto &, Epoch) {
+      Calls.push_back("query " + node.Name);
     };
     hooks.OnAdopted = [this](const auto &, const RegisteredRequest &request) {
       Calls.push_back("adopt " + request.Id);
@@ -220,7 +223,7 @@
     return hooks;
   }
 
-  std::vector<std::string> take() { return std::exchange(Calls, {}); }
+  std::vector<std::string> takeCalls() { return std::exchange(Calls, {}); }
 };
 
 using Names = std::vector<std::string>;
@@ -230,118 +233,124 @@
 
 } // namespace
 
-TEST_CASE("a recovered owner knows all that runs", "[recovery]") {
+TEST_CASE("a recovered owner knows all running requests", "[recovery]") {
   REQUIRE(checkMany("recovery schedules", Schedules, [] {
     auto waits = *rc::gen::container<std::vector<int>>(anyIn(0, 1000));
-    RecoveryBench bench(*rc::gen::arbitrary<std::uint64_t>());
-    auto broken = play(bench, waits);
-    if (!broken.empty())
-      RC_FAIL(broken);
+    RecoverySimulation simulation(*rc::gen::arbitrary<std::uint64_t>());
+    auto violation = runSchedule(simulation, waits);
+    if (!violation.empty())
+      RC_FAIL(violation);
   }));
 }
 
-TEST_CASE("switching a mechanism of recovery off breaks it", "[recovery]") {
-  REQUIRE(broken({}) == 0);
-  RecoverySwitches off;
-  SECTION("entries that begin what an earlier owner admitted") {
-    off.ObeyRefusal = false;
+TEST_CASE("disabling a condition of recovery causes violations", "[recovery]") {
+  REQUIRE(countViolations({}) == 0);
+  RecoverySwitches switches;
+  SECTION("entries begin requests that an earlier owner admitted") {
+    switches.ObeyRefusal = false;
   }
-  SECTION("an owner that does not wait") { off.WaitForRecovered = false; }
-  SECTION("ends that are lost before the answer") { off.PassEarlyEnds = false; }
-  REQUIRE(broken(off) > 0);
+  SECTION("the owner does not wait for the recovery") {
+    switches.WaitForRecovered = false;
+  }
+  SECTION("ends that come before the answer are lost") {
+    switches.PassEarlyEnds = false;
+  }
+  REQUIRE(countViolations(switches) > 0);
 }
 
-TEST_CASE("silent nodes are waited out, longer before unfenced engines",
+TEST_CASE("nodes that don't answer time out, later if engines are unfenced",
           "[recovery]") {
   bool checked = GENERATE(true, false);
   RecoverySettings settings;
-  Noted noted(settings);
-  auto &keeper = noted.Keeper;
-  keeper.begin(Cell, 5, {A, B}, checked, 0s);
-  REQUIRE(noted.take() == Names{"ask a", "ask b"});
-  REQUIRE(keeper.mode(Cell, LeaseMode::Held) == LeaseMode::Recovering);
-  REQUIRE(keeper.mode(Cell, LeaseMode::Doubtful) == LeaseMode::Doubtful);
-  REQUIRE(keeper.onAnswer(A, Cell, 5, {false, 5, {One}}));
-  REQUIRE(noted.take() == Names{"adopt 1"});
-  keeper.tick(1s);
-  REQUIRE(noted.take() == Names{"ask b"});
-  REQUIRE(keeper.waitingFor(Cell) == Names{"b"});
+  RecordingCoordinator recording(settings);
+  auto &coordinator = recording.Coordinator;
+  coordinator.begin(Cell, 5, {A, B}, checked, 0s);
+  REQUIRE(recording.takeCalls() == Names{"query a", "query b"});
+  REQUIRE(coordinator.mode(Cell, LeaseMode::Held) == LeaseMode::Recovering);
+  REQUIRE(coordinator.mode(Cell, LeaseMode::Doubtful) == LeaseMode::Doubtful);
+  REQUIRE(coordinator.onAnswer(A, Cell, 5, {false, 5, {One}}));
+  REQUIRE(recording.takeCalls() == Names{"adopt 1"});
+  coordinator.tick(1s);
+  REQUIRE(recording.takeCalls() == Names{"query b"});
+  REQUIRE(coordinator.unresolvedNodes(Cell) == Names{"b"});
   Span wait = checked ? settings.SilentWait : settings.UnfencedWait;
-  keeper.tick(wait - 1us);
-  REQUIRE_FALSE(keeper.recovered(Cell));
-  noted.take();
-  keeper.tick(wait);
-  REQUIRE(noted.take() == Names{"recovered"});
-  REQUIRE(keeper.waitedOut() == 1);
-  REQUIRE(keeper.mode(Cell, LeaseMode::Held) == LeaseMode::Held);
-  // What the silent node names after all still counts.
-  REQUIRE(keeper.onAnswer(B, Cell, 5, {false, 5, {{"2", Cell, "r", "", 3}}}));
-  REQUIRE(noted.take() == Names{"adopt 2"});
+  coordinator.tick(wait - 1us);
+  REQUIRE_FALSE(coordinator.isRecovered(Cell));
+  recording.takeCalls();
+  coordinator.tick(wait);
+  REQUIRE(recording.takeCalls() == Names{"recovered"});
+  REQUIRE(coordinator.timedOutNodes() == 1);
+  REQUIRE(coordinator.mode(Cell, LeaseMode::Held) == LeaseMode::Held);
+  // Requests in an answer that comes after the timeout are still adopted.
+  REQUIRE(
+      coordinator.onAnswer(B, Cell, 5, {false, 5, {{"2", Cell, "r", "", 3}}}));
+  REQUIRE(recording.takeCalls() == Names{"adopt 2"});
 }
 
-TEST_CASE("only answers for the own epoch count", "[recovery]") {
-  Noted noted;
-  auto &keeper = noted.Keeper;
-  keeper.begin(Cell, 5, {A}, true, 0s);
-  REQUIRE_FALSE(keeper.onAnswer(A, Cell, 4, {false, 4, {One}}));
-  REQUIRE_FALSE(keeper.onAnswer(A, "other", 5, {}));
-  keeper.begin(Cell, 4, {}, true, 0s);
-  REQUIRE_FALSE(keeper.recovered(Cell));
+TEST_CASE("only answers for the owner's epoch are accepted", "[recovery]") {
+  RecordingCoordinator recording;
+  auto &coordinator = recording.Coordinator;
+  coordinator.begin(Cell, 5, {A}, true, 0s);
+  REQUIRE_FALSE(coordinator.onAnswer(A, Cell, 4, {false, 4, {One}}));
+  REQUIRE_FALSE(coordinator.onAnswer(A, "other", 5, {}));
+  coordinator.begin(Cell, 4, {}, true, 0s);
+  REQUIRE_FALSE(coordinator.isRecovered(Cell));
   SECTION("a node that has answered a later owner stops the recovery") {
-    REQUIRE_FALSE(keeper.onAnswer(A, Cell, 5, {true, 6, {}}));
-    keeper.tick(60s);
-    REQUIRE_FALSE(keeper.recovered(Cell));
+    REQUIRE_FALSE(coordinator.onAnswer(A, Cell, 5, {true, 6, {}}));
+    coordinator.tick(60s);
+    REQUIRE_FALSE(coordinator.isRecovered(Cell));
   }
-  SECTION("another process of the same name does not speak for the first") {
-    REQUIRE(keeper.onAnswer({"a", "z.1"}, Cell, 5, {false, 5, {}}));
-    REQUIRE_FALSE(keeper.recovered(Cell));
-    // Its own later lease does.
-    REQUIRE(keeper.onAnswer({"a", "x.2"}, Cell, 5, {false, 5, {}}));
-    REQUIRE(keeper.recovered(Cell));
+  SECTION("an answer of another process of the same name does not count") {
+    REQUIRE(coordinator.onAnswer({"a", "z.1"}, Cell, 5, {false, 5, {}}));
+    REQUIRE_FALSE(coordinator.isRecovered(Cell));
+    // An answer of the same process under a later lease counts.
+    REQUIRE(coordinator.onAnswer({"a", "x.2"}, Cell, 5, {false, 5, {}}));
+    REQUIRE(coordinator.isRecovered(Cell));
   }
-  SECTION("a cell that was lost is forgotten") {
-    keeper.end(Cell);
-    REQUIRE_FALSE(keeper.onAnswer(A, Cell, 5, {}));
+  SECTION("answers for a cell that was lost are rejected") {
+    coordinator.end(Cell);
+    REQUIRE_FALSE(coordinator.onAnswer(A, Cell, 5, {}));
   }
 }
 
-TEST_CASE("adopted requests end once, in any order", "[recovery]") {
-  Noted noted;
-  auto &keeper = noted.Keeper;
-  keeper.begin(Cell, 5, {A}, true, 0s);
-  noted.take();
-  SECTION("the end comes first") {
-    keeper.onFinished(A, Cell, "1");
-    keeper.onAnswer(A, Cell, 5, {false, 5, {One}});
-    REQUIRE(noted.take() == Names{"recovered"});
+TEST_CASE("adopted requests end once in any order of messages", "[recovery]") {
+  RecordingCoordinator recording;
+  auto &coordinator = recording.Coordinator;
+  coordinator.begin(Cell, 5, {A}, true, 0s);
+  recording.takeCalls();
+  SECTION("the end comes before the answer") {
+    coordinator.onFinished(A, Cell, "1");
+    coordinator.onAnswer(A, Cell, 5, {false, 5, {One}});
+    REQUIRE(recording.takeCalls() == Names{"recovered"});
   }
   SECTION("an answer comes twice") {
-    keeper.onAnswer(A, Cell, 5, {false, 5, {One}});
-    keeper.onFinished(A, Cell, "1");
-    keeper.onFinished(A, Cell, "1");
-    keeper.onAnswer(A, Cell, 5, {false, 5, {One}});
-    REQUIRE(noted.take() == Names{"adopt 1", "recovered", "finish 1"});
+    coordinator.onAnswer(A, Cell, 5, {false, 5, {One}});
+    coordinator.onFinished(A, Cell, "1");
+    coordinator.onFinished(A, Cell, "1");
+    coordinator.onAnswer(A, Cell, 5, {false, 5, {One}});
+    REQUIRE(recording.takeCalls() == Names{"adopt 1", "recovered", "finish 1"});
   }
-  SECTION("what we admitted ourselves is not adopted") {
-    keeper.onAnswer(A, Cell, 5, {false, 5, {{"2", Cell, "r", "", 5}}});
-    REQUIRE(noted.take() == Names{"recovered"});
+  SECTION("requests that this owner admitted are not adopted") {
+    coordinator.onAnswer(A, Cell, 5, {false, 5, {{"2", Cell, "r", "", 5}}});
+    REQUIRE(recording.takeCalls() == Names{"recovered"});
   }
-  SECTION("the node is lost: after its wait its requests are over") {
-    keeper.onAnswer(A, Cell, 5, {false, 5, {One}});
-    keeper.setNodes({}, 20s);
-    keeper.tick(30s);
-    REQUIRE(noted.take() == Names{"adopt 1", "recovered"});
-    keeper.tick(31s);
-    REQUIRE(noted.take() == Names{"finish 1"});
+  SECTION("requests of an absent node end after its wait") {
+    coordinator.onAnswer(A, Cell, 5, {false, 5, {One}});
+    coordinator.setNodes({}, 20s);
+    coordinator.tick(30s);
+    REQUIRE(recording.takeCalls() == Names{"adopt 1", "recovered"});
+    coordinator.tick(31s);
+    REQUIRE(recording.takeCalls() == Names{"finish 1"});
   }
-  SECTION("a node that comes later is asked too") {
-    keeper.setNodes({A, B}, 1s);
-    REQUIRE(noted.take() == Names{"ask b"});
-    REQUIRE(keeper.waitingFor(Cell) == Names{"a", "b"});
+  SECTION("a node that joins later is queried too") {
+    coordinator.setNodes({A, B}, 1s);
+    REQUIRE(recording.takeCalls() == Names{"query b"});
+    REQUIRE(coordinator.unresolvedNodes(Cell) == Names{"a", "b"});
   }
 }
 
-TEST_CASE("the register answers by cell and refuses old epochs", "[recovery]") {
+TEST_CASE("running requests are listed by cell and old epochs are refused",
+          "[recovery]") {
   RunningRequests running;
   REQUIRE(running.add({"1", Cell, "r", "a@1", 3}));
   REQUIRE(running.add({"2", "other", "r", "", 9}));
