--- a/Hemlockglade/Coordination/Directory/Directory.cpp
+++ b/Hemlockglade/Coordination/Directory/Directory.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// How good an address is for the caller; the lowest tier goes first.
+/// Preference of an address for the caller; the lowest tier comes first.
 enum class Tier : std::uint8_t {
   Owner,
   SameDomain,
@@ -20,23 +20,23 @@
 struct Candidate {
   const MemberRecord *Record = nullptr;
   Tier Rank = Tier::OtherRegion;
-  /// Differs between callers, so that they spread over equal candidates.
+  /// Differs between callers, so that they spread over candidates of one tier.
   std::uint64_t Weight = 0;
 };
 
-bool takesCallers(const MemberRecord &record) {
-  bool lives = record.State == MemberState::Alive ||
-               record.State == MemberState::Suspect;
-  return lives && !record.Leaving;
+bool acceptsCallers(const MemberRecord &record) {
+  bool isAlive = record.State == MemberState::Alive ||
+                 record.State == MemberState::Suspect;
+  return isAlive && !record.Leaving;
 }
 
-struct Place {
+struct Location {
   std::string_view FailureDomain;
   std::string_view Region;
 };
 
-Place placeOf(const DirectoryQuery &query,
-              std::span<const MemberRecord> members) {
+Location locationOf(const DirectoryQuery &query,
+                    std::span<const MemberRecord> members) {
   if (!query.FailureDomain.empty() || !query.Region.empty())
     return {query.FailureDomain, query.Region};
   for (const auto &it : members) {
@@ -47,18 +47,19 @@
 }
 
 Tier tierOf(const MemberRecord &record, const DirectoryQuery &query,
-            const Place &place) {
+            const Location &location) {
   if (record.State == MemberState::Suspect)
     return Tier::Suspect;
   if (record.Name == query.Owner)
     return Tier::Owner;
-  if (record.FailureDomain == place.FailureDomain)
+  if (record.FailureDomain == location.FailureDomain)
     return Tier::SameDomain;
-  return record.Region == place.Region ? Tier::SameRegion : Tier::OtherRegion;
+  return record.Region == location.Region ? Tier::SameRegion
+                                          : Tier::OtherRegion;
 }
 
-/// If all that is chosen shares one failure domain, lets the best of another
-/// one take the last place.
+/// If the first `n` candidates share one failure domain, replaces the last of
+/// them by the best candidate of another domain that isn't suspected.
 void mixDomains(std::vector<Candidate> &all, std::size_t n) {
   if (n < 2 || all.size() <= n)
     return;
@@ -79,12 +80,12 @@
 DirectoryAnswer chooseAddresses(const DirectorySettings &settings,
                                 const DirectoryQuery &query,
                                 std::span<const MemberRecord> members) {
-  auto place = placeOf(query, members);
+  auto location = locationOf(query, members);
   std::vector<Candidate> all;
   all.reserve(members.size());
   for (const auto &it : members) {
-    if (takesCallers(it))
-      all.push_back({&it, tierOf(it, query, place),
+    if (acceptsCallers(it))
+      all.push_back({&it, tierOf(it, query, location),
                      rendezvousWeight(it.Name, query.Caller)});
   }
   std::sort(all.begin(), all.end(), [](const auto &a, const auto &b) {
--- a/Hemlockglade/Coordination/Directory/Directory.h
+++ b/Hemlockglade/Coordination/Directory/Directory.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade {
 
-/// Limits of the answers to callers.
+/// Lifetime and size of the answers to callers.
 struct DirectorySettings {
   /// How long a caller may keep the answer.
   Span TimeToLive = std::chrono::seconds(5);
@@ -15,14 +15,14 @@
   std::size_t MaxAddresses = 4;
 };
 
-/// What a caller asks.
+/// A caller's query for the addresses of a cell.
 struct DirectoryQuery {
-  /// Who asks; callers that differ get different second addresses.
+  /// Identifies the caller; different callers get different second addresses.
   std::string_view Caller;
-  /// Where the caller is; empty if that isn't known.
+  /// Failure domain and region of the caller; empty if unknown.
   std::string_view FailureDomain;
   std::string_view Region;
-  /// Node that owns the cell; empty if there is none.
+  /// Name of the node that owns the cell; empty if there is none.
   std::string_view Owner;
 };
 
@@ -33,9 +33,9 @@
 };
 
 /// Chooses addresses: the owner first, then nodes near the caller (or near the
-/// owner if the caller's place isn't known), with one in another failure
-/// domain among them where there is one. Leaving and dead nodes are left out;
-/// suspects come last.
+/// owner if the caller's location is unknown), at least one of them in another
+/// failure domain if a node there isn't suspected. Leaving and dead nodes are
+/// omitted; suspected nodes come last.
 DirectoryAnswer chooseAddresses(const DirectorySettings &settings,
                                 const DirectoryQuery &query,
                                 std::span<const MemberRecord> members);
--- a/UnitTests/Coordination/Directory/DirectoryTest.cpp
+++ b/UnitTests/Coordination/Directory/DirectoryTest.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-TEST_CASE("the owner goes first and near nodes follow", "[directory]") {
+TEST_CASE("the owner comes first and near nodes follow", "[directory]") {
   auto all = members();
-  std::map<std::string, int> seconds;
+  std::map<std::string, int> secondAddresses;
   for (int it = 0; it < 300; ++it) {
     auto caller = "caller-" + std::to_string(it);
     auto answer =
@@ -41,21 +41,21 @@
     REQUIRE(answer.Addresses.size() == 4);
     REQUIRE(answer.TimeToLive == DirectorySettings{}.TimeToLive);
     REQUIRE(answer.Addresses[0] == "10.0.0.1:0");
-    for (int place = 1; place < 4; ++place)
-      REQUIRE(domainOf(all, answer.Addresses[place]) == "hall-1");
-    ++seconds[answer.Addresses[1]];
-    // The same caller is told the same again.
+    for (int index = 1; index < 4; ++index)
+      REQUIRE(domainOf(all, answer.Addresses[index]) == "hall-1");
+    ++secondAddresses[answer.Addresses[1]];
+    // The same caller gets the same addresses again.
     auto again =
         chooseAddresses({}, {caller, "hall-1", "region-0", "entry-0"}, all);
     REQUIRE(again.Addresses == answer.Addresses);
   }
-  // Callers don't all go to one second address.
-  REQUIRE(seconds.size() == 4);
-  for (const auto &[address, n] : seconds)
+  // The second addresses are spread over the callers.
+  REQUIRE(secondAddresses.size() == 4);
+  for (const auto &[address, n] : secondAddresses)
     REQUIRE(n < 300 / 2);
 }
 
-TEST_CASE("a leaving or dead node is left out at once and suspects go last",
+TEST_CASE("leaving and dead nodes are omitted and suspected ones come last",
           "[directory]") {
   for (auto state : {MemberState::Alive, MemberState::Suspect,
                      MemberState::Dead, MemberState::Left}) {
@@ -80,11 +80,12 @@
   }
 }
 
-TEST_CASE("the loss of a failure domain leaves an address", "[directory]") {
+TEST_CASE("an answer has addresses of at least two failure domains",
+          "[directory]") {
   auto all = members();
   for (int it = 0; it < 50; ++it) {
     auto caller = std::to_string(it);
-    // The caller's place isn't known: the owner's counts.
+    // The caller's location is unknown, so the owner's is used.
     auto answer = chooseAddresses({}, {caller, "", "", "entry-5"}, all);
     REQUIRE(answer.Addresses[0] == "10.0.0.1:5");
     REQUIRE(domainOf(all, answer.Addresses[1]) == "hall-1");
