--- a/Hemlockglade/Coordination/Coordination.h
+++ b/Hemlockglade/Coordination/Coordination.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The public header of the Coordination layer: decisions, leases, the table.
+// Public header of the Coordination layer: decisions, leases, membership and
+// the interface to the platform's table.
 
 #include "Hemlockglade/Coordination/Claim/ClaimStore.h"
 #include "Hemlockglade/Coordination/Config/ConfigFormat.h"
--- a/Hemlockglade/Coordination/TableEra.cpp
+++ b/Hemlockglade/Coordination/TableEra.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-/// Versions of one era; decimal, so that era and version can be read in logs.
-constexpr std::uint64_t PerEra = 1'000'000'000'000;
+/// Number of versions of one era. A power of ten, so that era and version can
+/// be read off the decimal number in logs.
+constexpr std::uint64_t VersionsPerEra = 1'000'000'000'000;
 
 } // namespace
 
@@ -13,7 +14,7 @@
   if (era < Era)
     return false;
   Era = era;
-  Heard = true;
+  EraKnown = true;
   return true;
 }
 
@@ -21,14 +22,18 @@
   return startOf(Era) + version;
 }
 
-std::optional<std::uint64_t> TableEra::own(std::uint64_t wide) const {
-  if (wide != 0 && Heard && eraOf(wide) != Era)
+std::optional<std::uint64_t> TableEra::own(std::uint64_t version) const {
+  if (version != 0 && EraKnown && eraOf(version) != Era)
     return std::nullopt;
-  return wide % PerEra;
+  return version % VersionsPerEra;
 }
 
-std::uint64_t TableEra::startOf(std::uint64_t era) { return era * PerEra; }
+std::uint64_t TableEra::startOf(std::uint64_t era) {
+  return era * VersionsPerEra;
+}
 
-std::uint64_t TableEra::eraOf(std::uint64_t wide) { return wide / PerEra; }
+std::uint64_t TableEra::eraOf(std::uint64_t version) {
+  return version / VersionsPerEra;
+}
 
 } // namespace hemlockglade
--- a/UnitTests/Coordination/CheckMany.h
+++ b/UnitTests/Coordination/CheckMany.h
@@ -5,14 +5,14 @@
 
 namespace hemlockglade::test {
 
-/// Any of [min, max), all equally likely; rc::gen::inRange alone draws from a
-/// small part of the range while a test's size is small.
+/// Generates values of [min, max), all equally likely; rc::gen::inRange alone
+/// draws from a small part of the range while the size of a test case is small.
 template <typename T> rc::Gen<T> anyIn(T min, T max) {
   return rc::gen::resize(rc::kNominalSize, rc::gen::inRange<T>(min, max));
 }
 
-/// Checks a property over `count` schedules, at the seed of RC_PARAMS, and
-/// prints the shrunk schedule if it fails.
+/// Checks a property with `count` generated inputs, at the seed of RC_PARAMS,
+/// and prints the shrunk input if one fails. Returns whether all passed.
 template <typename Property>
 bool checkMany(const std::string &name, int count, Property property) {
   rc::detail::TestMetadata metadata{name, name};
--- a/UnitTests/Coordination/FakeTable.h
+++ b/UnitTests/Coordination/FakeTable.h
@@ -8,34 +8,33 @@
 
 namespace hemlockglade::test {
 
-/// How likely each fault of the table is, each from 0 to 1.
+/// Probabilities of the table's faults, each from 0 to 1, and its delays.
 struct TableFaults {
-  /// The request never leaves.
+  /// The request is not sent.
   double NotSent = 0;
   /// The change takes effect and its answer is lost.
   double LoseAnswer = 0;
   /// The change does not take effect and no answer comes.
   double LoseRequest = 0;
-  /// No answer comes, and the change takes effect up to MaxLate afterwards.
+  /// No answer comes, and the change takes effect up to MaxLate later.
   double Late = 0;
   Span MaxLate = std::chrono::seconds(3);
-  /// Longest delay of a request, and of its answer.
+  /// Maximum delay of a request, and of its answer.
   Span MaxDelay = std::chrono::milliseconds(5);
 };
 
-/// A table in memory, on virtual time, that delays, fails, loses answers and
-/// lets requests overtake each other.
+/// A table in memory, on virtual time, that delays and reorders requests, fails
+/// and loses answers.
 class FakeTable {
 public:
   FakeTable(VirtualTime &time, std::uint64_t seed) : Time(time), Random(seed) {}
 
   TableFaults Faults;
-  /// Whether commits compare versions, as they must.
+  /// Whether commits compare versions; a test can disable that.
   bool Compares = true;
-  /// While down nothing takes effect and nothing is answered but by failure.
+  /// While true, no change takes effect and every request fails.
   bool Down = false;
-  /// The era that it tells with its answers, and that of the answer that is
-  /// being given.
+  /// The era of the table, and that of the answer that is being delivered.
   std::uint64_t Era = 0;
   std::uint64_t AnsweredEra = 0;
   std::uint64_t Reads = 0;
@@ -89,9 +88,9 @@
     return hooks;
   }
 
-  /// Applies a transaction at once; false if it conflicts.
+  /// Applies a transaction at once. Returns false if it conflicts.
   bool apply(const TableTransaction &transaction) {
-    if (Seen.contains(transaction.AttemptId))
+    if (AppliedAttempts.contains(transaction.AttemptId))
       return true;
     for (const auto &write : transaction.Writes) {
       auto it = Rows.find(write.Key);
@@ -105,7 +104,7 @@
       else
         Rows.erase(write.Key);
     }
-    Seen.insert(transaction.AttemptId);
+    AppliedAttempts.insert(transaction.AttemptId);
     if (OnCommitted)
       OnCommitted(transaction);
     return true;
@@ -118,8 +117,8 @@
 
   Span delay() { return delay(Faults.MaxDelay); }
 
-  Span delay(Span longest) {
-    auto max = std::max<std::int64_t>(longest.count(), 1);
+  Span delay(Span maxDelay) {
+    auto max = std::max<std::int64_t>(maxDelay.count(), 1);
     return Span(std::uniform_int_distribution<std::int64_t>(1, max)(Random));
   }
 
@@ -153,7 +152,7 @@
 
   VirtualTime &Time;
   std::mt19937_64 Random;
-  std::set<std::string> Seen;
+  std::set<std::string> AppliedAttempts;
 };
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/VirtualTime.h
+++ b/UnitTests/Coordination/VirtualTime.h
@@ -7,8 +7,8 @@
 
 namespace hemlockglade::test {
 
-/// A clock and a queue of calls in virtual time. Calls that are due at the
-/// same instant run in the order in which they were added.
+/// A clock and a queue of calls in virtual time. Calls that are due at the same
+/// instant run in the order in which they were added.
 class VirtualTime {
 public:
   Instant now() const { return Now; }
@@ -18,7 +18,7 @@
     Calls.emplace(Now + delay, std::move(call));
   }
 
-  /// Runs all calls that are due within `span`, then stands at its end.
+  /// Runs all calls that are due within `span` and advances the clock by it.
   void advance(Span span) {
     Instant end = Now + span;
     while (!Calls.empty() && Calls.begin()->first <= end) {
