--- a/UnitTests/Platform/Soak/SoakCallers.cpp
+++ b/UnitTests/Platform/Soak/SoakCallers.cpp
@@ -10,30 +10,30 @@
 
 using std::chrono::milliseconds;
 
-constexpr auto Deadline = milliseconds(3000);
-/// How much longer than its deadline a caller waits for an answer.
-constexpr auto Patience = milliseconds(1500);
-constexpr auto ProbeEvery = milliseconds(500);
-constexpr auto LooksEvery = milliseconds(1000);
+constexpr auto RequestTimeout = milliseconds(3000);
+/// How much longer than its request's timeout a caller waits for an answer.
+constexpr auto AnswerGrace = milliseconds(1500);
+constexpr auto ProbeInterval = milliseconds(500);
+constexpr auto DirectoryInterval = milliseconds(1000);
 
-constexpr std::uint16_t FirstError = 400;
+constexpr std::uint16_t MinErrorStatus = 400;
 
-bool promisesNotRun(std::uint16_t status) {
+bool isNotRunStatus(std::uint16_t status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 } // namespace
 
-struct SoakCallers::Sending {
+struct SoakCallers::Call {
   std::string Name;
   std::string Tag;
   std::string Path;
   std::string Adapter;
   bool Stream = false;
-  bool Once = false;
-  bool Leaves = false;
-  bool Kept = false;
-  bool Over = false;
+  bool AtMostOnce = false;
+  bool Aborts = false;
+  bool Reused = false;
+  bool Ended = false;
   std::string To;
   std::shared_ptr<HttpConnection> Connection;
   std::optional<HttpAnswerHead> Head;
@@ -44,31 +44,33 @@
                          std::list<std::unique_ptr<SoakNode>> &nodes,
                          SoakHistory &history, std::uint64_t seed)
     : Context(context), Nodes(nodes), History(history), Timers(context),
-      Pool(context, {}), Asking(context, {}), Random(seed),
+      Pool(context, {}), DirectoryCaller(context, {}), Random(seed),
       CrashingRandom(seed) {}
 
 void SoakCallers::start() {
-  Going = true;
-  ask();
-  Subscriptions.push_back(Timers.every(LooksEvery, [this](Instant) { ask(); }));
+  Running = true;
+  queryDirectory();
   Subscriptions.push_back(
-      Timers.every(ProbeEvery, [this](Instant) { probeAll(); }));
-  next();
-  if (CrashingEvery > Span(0))
-    Subscriptions.push_back(
-        Timers.every(CrashingEvery, [this](Instant) { sendCrashing(); }));
+      Timers.every(DirectoryInterval, [this](Instant) { queryDirectory(); }));
+  Subscriptions.push_back(
+      Timers.every(ProbeInterval, [this](Instant) { probeNodes(); }));
+  sendNext();
+  if (CrashingInterval > Span(0))
+    Subscriptions.push_back(Timers.every(
+        CrashingInterval, [this](Instant) { sendCrashingRequest(); }));
 }
 
-void SoakCallers::sendCrashing() {
-  if (!Going || Known.All.empty())
+void SoakCallers::sendCrashingRequest() {
+  if (!Running || Targets.All.empty())
     return;
-  const auto &address = Known.All[CrashingRandom() % Known.All.size()];
-  HttpRequestHead head{"POST", "/chat" + std::string(site::CrashingTarget), {}};
+  const auto &address = Targets.All[CrashingRandom() % Targets.All.size()];
+  HttpRequestHead head{
+      "POST", "/chat" + std::string(site::CrashingTargetSuffix), {}};
   head.Fields = {
       {"Host", "a.example"},
-      {std::string(platform_name::RequestId), "x" + std::to_string(++Number)},
+      {std::string(platform_name::RequestId), "x" + std::to_string(++LastId)},
       {std::string(platform_name::TimeLeftMs),
-       std::to_string(milliseconds(Deadline).count())},
+       std::to_string(milliseconds(RequestTimeout).count())},
       {std::string(platform_name::Weights), std::string(site::Model) + "/a1"},
       {std::string(platform_name::TokenCounts), "200,48"},
       {std::string(platform_name::PromptParts), "a1:100,c1:100"},
@@ -86,103 +88,106 @@
   head.Fields.push_back({std::string(platform_name::CallerKey),
                          SoakWorkspaces::keyOf(workspace, Plan)});
   head.Fields.push_back(
-      {std::string(SoakWorkspaces::Truth),
-       SoakWorkspaces::truthOf(workspace, TimerService::now())});
-  // Nobody may choose the workspace that replicas are told.
+      {std::string(SoakWorkspaces::SenderField),
+       SoakWorkspaces::senderOf(workspace, TimerService::now())});
+  // Gateways must overwrite this field: a caller can't choose the workspace
+  // that replicas receive.
   head.Fields.push_back({std::string(platform_name::Workspace), "forged"});
 }
 
-void SoakCallers::probeRevoked(SoakNode &node) {
+void SoakCallers::probeRevokedKey(SoakNode &node) {
   HttpRequestHead head{"GET", "/look/revoked", {}};
   head.Fields = {
       {"Host", "a.example"},
-      {std::string(platform_name::RequestId), "v" + std::to_string(++Number)},
+      {std::string(platform_name::RequestId), "v" + std::to_string(++LastId)},
       {std::string(platform_name::TimeLeftMs), "400"},
-      {std::string(platform_name::CallerKey), SoakWorkspaces::revokedBy(Plan)}};
-  auto connection = Pool.take(parseEndpoint(node.caller()));
+      {std::string(platform_name::CallerKey),
+       SoakWorkspaces::keyRevokedBy(Plan)}};
+  auto connection = Pool.take(parseEndpoint(node.callerAddress()));
   HttpCallHooks hooks;
-  ++Seen.RevokedTried;
+  ++Totals.RevokedSent;
   hooks.OnHead = [this](const HttpAnswerHead &answer) {
-    Seen.RevokedServed += answer.Status < FirstError ? 1 : 0;
+    Totals.RevokedServed += answer.Status < MinErrorStatus ? 1 : 0;
     return true;
   };
   hooks.OnDone = [this, connection] { Pool.give(connection); };
   connection->call(writeHead(head), "", false, std::move(hooks));
 }
 
-void SoakCallers::next() {
-  if (!Going)
+void SoakCallers::sendNext() {
+  if (!Running)
     return;
-  if (!Known.All.empty())
+  if (!Targets.All.empty())
     send();
-  Timers.after(spanOf(1 / Rate), [this](Instant) { next(); });
+  Timers.after(spanOf(1 / Rate), [this](Instant) { sendNext(); });
 }
 
-void SoakCallers::ask() {
-  std::vector<SoakNode *> up;
+void SoakCallers::queryDirectory() {
+  std::vector<SoakNode *> running;
   for (auto &it : Nodes)
-    if (it->running() && !it->paused())
-      up.push_back(it.get());
-  if (up.empty())
+    if (it->isRunning() && !it->isPaused())
+      running.push_back(it.get());
+  if (running.empty())
     return;
-  auto &node = *up[Random() % up.size()];
+  auto &node = *running[Random() % running.size()];
   HttpCall call;
-  call.Address = parseEndpoint(node.directory());
+  call.Address = parseEndpoint(node.directoryAddress());
   call.Target = std::string(platform_name::DirectoryCall) +
                 "?name=a.example&zone=" + node.domain();
   auto askedAt = TimerService::now();
-  Asking.call(call, [this, askedAt](auto answer) {
+  DirectoryCaller.call(call, [this, askedAt](auto answer) {
     if (!answer || answer->Head.Status != 200)
       return;
     auto body = parseJson(answer->Body);
-    Known.All = body.at("addresses").template get<std::vector<std::string>>();
-    Known.AskedAt = askedAt;
-    Known.TimeToLive = spanOf(body.at("ttl_s").template get<double>());
+    Targets.All = body.at("addresses").template get<std::vector<std::string>>();
+    Targets.AskedAt = askedAt;
+    Targets.TimeToLive = spanOf(body.at("ttl_s").template get<double>());
   });
 }
 
-std::string SoakCallers::nameOf(const std::string &address) const {
+std::string SoakCallers::nodeNameOf(const std::string &address) const {
   for (const auto &it : Nodes)
-    if (it->caller() == address)
+    if (it->callerAddress() == address)
       return it->name();
   return address;
 }
 
-std::shared_ptr<SoakCallers::Sending> SoakCallers::draw() {
-  auto it = std::make_shared<Sending>();
-  it->Name = "s" + std::to_string(++Number);
-  it->Tag = "t" + std::to_string(Number);
+std::shared_ptr<SoakCallers::Call> SoakCallers::drawCall() {
+  auto it = std::make_shared<Call>();
+  it->Name = "s" + std::to_string(++LastId);
+  it->Tag = "t" + std::to_string(LastId);
   constexpr std::uint64_t Kinds = 10;
-  constexpr std::uint64_t Rarely = 25;
+  constexpr std::uint64_t AbortOneIn = 25;
   auto kind = Random() % Kinds;
   it->Stream = kind < 6;
-  it->Once = kind == 4 || kind == 5 || kind >= 8;
-  it->Path = it->Stream ? (it->Once ? "/once/" : "/chat/")
-                        : (it->Once ? "/order/" : "/look/");
-  it->Leaves = Random() % Rarely == 0;
+  it->AtMostOnce = kind == 4 || kind == 5 || kind >= 8;
+  it->Path = it->Stream ? (it->AtMostOnce ? "/once/" : "/chat/")
+                        : (it->AtMostOnce ? "/order/" : "/look/");
+  it->Aborts = Random() % AbortOneIn == 0;
   // A few adapters get most of the requests.
-  auto rank = std::min(Random() % site::Adapters, Random() % site::Adapters);
+  auto rank =
+      std::min(Random() % site::AdapterCount, Random() % site::AdapterCount);
   if (it->Stream)
     it->Adapter = std::string(site::Model) + "/a" + std::to_string(rank + 1);
   return it;
 }
 
 void SoakCallers::send() {
-  auto it = draw();
-  auto address = Known.All[Random() % Known.All.size()];
-  it->To = nameOf(address);
+  auto it = drawCall();
+  auto address = Targets.All[Random() % Targets.All.size()];
+  it->To = nodeNameOf(address);
   it->Connection = Pool.take(parseEndpoint(address), std::chrono::seconds(5));
-  it->Kept = it->Connection->open();
-  ++Open;
-  ++Seen.Sent;
-  auto &event = History.note("callers", "sent");
+  it->Reused = it->Connection->open();
+  ++OpenCalls;
+  ++Totals.Sent;
+  auto &event = History.record("callers", "sent");
   event.Sending = it->Name;
   event.Tag = it->Tag;
   event.Adapter = it->Adapter;
   event.To = it->To;
-  event.Key = it->Once ? it->Tag : "";
-  event.AskedAt = Known.AskedAt;
-  event.TimeToLive = Known.TimeToLive;
+  event.Key = it->AtMostOnce ? it->Tag : "";
+  event.AskedAt = Targets.AskedAt;
+  event.TimeToLive = Targets.TimeToLive;
   std::string body = "hi";
   HttpRequestHead head{"POST", it->Path + it->Tag, {}};
   auto add = [&head](std::string_view name, std::string value) {
@@ -191,15 +196,15 @@
   add("Host", "a.example");
   add(platform_name::RequestId, it->Tag);
   add(platform_name::TimeLeftMs,
-      std::to_string(milliseconds(Deadline).count()));
+      std::to_string(milliseconds(RequestTimeout).count()));
   add("Content-Length", std::to_string(body.size()));
   if (Workspaces)
-    addKey(head, Workspaces->draw());
+    addKey(head, Workspaces->drawWorkspace());
   if (it->Stream) {
     add(platform_name::Weights, it->Adapter);
     add(platform_name::TokenCounts, "200,48");
     add(platform_name::PromptParts,
-        "a1:100,b" + std::to_string(Number) + ":100");
+        "a1:100,b" + std::to_string(LastId) + ":100");
   }
   HttpCallHooks hooks;
   hooks.OnHead = [it](const HttpAnswerHead &head) {
@@ -209,84 +214,84 @@
   hooks.OnBody = [it](std::string_view part) { it->Body.append(part); };
   hooks.OnDone = [this, it] { onDone(it); };
   hooks.OnFailed = [this, it](HttpFailure how) {
-    bool nothing = how == HttpFailure::NotConnected || !it->Kept;
-    finish(it, !it->Head && nothing ? "none" : "unknown");
+    bool neverSent = how == HttpFailure::NotConnected || !it->Reused;
+    finish(it, !it->Head && neverSent ? "none" : "unknown");
   };
-  auto bound = it->Leaves ? milliseconds(60) : Deadline + Patience;
-  Timers.after(bound, [this, it](Instant) { finish(it, "left"); });
+  auto timeout = it->Aborts ? milliseconds(60) : RequestTimeout + AnswerGrace;
+  Timers.after(timeout, [this, it](Instant) { finish(it, "left"); });
   it->Connection->call(writeHead(head), body, false, std::move(hooks));
 }
 
-void SoakCallers::onDone(const std::shared_ptr<Sending> &sending) {
-  auto status = sending->Head->Status;
-  const auto *id = findField(sending->Head->Fields, platform_name::RequestId);
-  if (id && *id != sending->Tag)
-    return finish(sending, "complete", "an answer to another request");
+void SoakCallers::onDone(const std::shared_ptr<Call> &call) {
+  auto status = call->Head->Status;
+  const auto *id = findField(call->Head->Fields, platform_name::RequestId);
+  if (id && *id != call->Tag)
+    return finish(call, "complete", "an answer to another request");
   if (status < 300) {
-    bool sealed = findField(sending->Head->Fields, platform_name::Seal);
-    return finish(sending, "complete",
-                  sealed ? "" : "a success without a seal");
+    bool hasSeal = findField(call->Head->Fields, platform_name::Seal);
+    return finish(call, "complete", hasSeal ? "" : "a success without a seal");
   }
-  if (promisesNotRun(status))
-    return finish(sending, "not-run");
+  if (isNotRunStatus(status))
+    return finish(call, "not-run");
   if (status == 400 || status == 404)
-    return finish(sending, "failed", "refused though the route is there");
-  finish(sending, "failed");
+    return finish(call, "failed", "refused though the route is there");
+  finish(call, "failed");
 }
 
-void SoakCallers::finish(const std::shared_ptr<Sending> &sending,
-                         std::string outcome, std::string fault) {
-  if (std::exchange(sending->Over, true))
+void SoakCallers::finish(const std::shared_ptr<Call> &call, std::string outcome,
+                         std::string fault) {
+  if (std::exchange(call->Ended, true))
     return;
-  --Open;
+  --OpenCalls;
   if (outcome == "left" || outcome == "unknown" || outcome == "none" ||
-      !sending->Connection->reusable())
-    sending->Connection->abort();
+      !call->Connection->reusable())
+    call->Connection->abort();
   else
-    Pool.give(sending->Connection);
-  Seen.Complete += outcome == "complete";
-  Seen.Refused += outcome == "not-run";
-  constexpr std::uint16_t TooMany = 429;
-  Seen.Limited += sending->Head && sending->Head->Status == TooMany;
-  Seen.Failed += outcome == "failed";
-  Seen.Unknown += outcome == "unknown" || outcome == "none";
-  Seen.Left += outcome == "left";
-  auto &event = History.note("callers", "answered");
-  event.Sending = sending->Name;
-  event.Tag = sending->Tag;
-  event.To = sending->To;
-  event.Key = sending->Once ? sending->Tag : "";
+    Pool.give(call->Connection);
+  Totals.Complete += outcome == "complete";
+  Totals.Refused += outcome == "not-run";
+  constexpr std::uint16_t TooManyRequests = 429;
+  Totals.Limited += call->Head && call->Head->Status == TooManyRequests;
+  Totals.Failed += outcome == "failed";
+  Totals.Unknown += outcome == "unknown" || outcome == "none";
+  Totals.Aborted += outcome == "left";
+  auto &event = History.record("callers", "answered");
+  event.Sending = call->Name;
+  event.Tag = call->Tag;
+  event.To = call->To;
+  event.Key = call->AtMostOnce ? call->Tag : "";
   event.Outcome = std::move(outcome);
   event.Fault = std::move(fault);
-  event.Status = sending->Head ? sending->Head->Status : 0;
-  event.Hash = site::hashOf(sending->Body);
-  if (sending->Head)
-    if (const auto *by = findField(sending->Head->Fields, "Served-By"))
+  event.Status = call->Head ? call->Head->Status : 0;
+  event.Hash = site::hashOf(call->Body);
+  if (call->Head)
+    if (const auto *by = findField(call->Head->Fields, "Served-By"))
       event.Adapter = *by;
 }
 
-void SoakCallers::probeAll() {
-  if (!Going)
+void SoakCallers::probeNodes() {
+  if (!Running)
     return;
   for (auto &it : Nodes)
-    if (it->running() && !it->paused() && !it->stopping()) {
-      probe(*it);
+    if (it->isRunning() && !it->isPaused() && !it->isStopping()) {
+      probePlan(*it);
       if (Workspaces && Plan > 1)
-        probeRevoked(*it);
+        probeRevokedKey(*it);
     }
 }
 
-void SoakCallers::probe(SoakNode &node) {
-  // Each version of the plan adds a route that only it and later ones have.
+void SoakCallers::probePlan(SoakNode &node) {
+  // Each version of the plan adds a route that exists only in it and in later
+  // versions.
   HttpRequestHead head{"GET", "/probe/" + std::to_string(Plan) + "/", {}};
   head.Fields = {
       {"Host", "a.example"},
-      {std::string(platform_name::RequestId), "p" + std::to_string(++Number)},
+      {std::string(platform_name::RequestId), "p" + std::to_string(++LastId)},
       {std::string(platform_name::TimeLeftMs), "400"}};
   if (Workspaces)
     addKey(head, "free");
   auto askedAt = TimerService::now();
-  auto connection = Pool.take(parseEndpoint(node.caller()));
+  auto connection = Pool.take(parseEndpoint(node.callerAddress()));
   auto status = std::make_shared<std::uint16_t>(0);
   HttpCallHooks hooks;
   hooks.OnHead = [status](const HttpAnswerHead &head) {
@@ -297,10 +302,10 @@
                   name = node.name()] {
     Pool.give(connection);
     constexpr std::uint16_t NoRoute = 404;
-    // Only these two say which plan was looked at.
-    if (*status != NoRoute && *status >= FirstError)
+    // Only a success and 404 show which plan the node used.
+    if (*status != NoRoute && *status >= MinErrorStatus)
       return;
-    auto &event = History.note("callers", "in_force");
+    auto &event = History.record("callers", "in_force");
     event.To = name;
     event.AskedAt = askedAt;
     event.Revision = *status == NoRoute ? plan - 1 : plan;
--- a/UnitTests/Platform/Soak/SoakCallers.h
+++ b/UnitTests/Platform/Soak/SoakCallers.h
@@ -8,8 +8,8 @@
 
 namespace hemlockglade::soak {
 
-/// Callers as the platform has them: they ask a node which address to use,
-/// keep connections, check what they get, and at times leave.
+/// A stand-in for the platform's callers: they query a node's directory for
+/// addresses, reuse connections, check the answers, and abort some requests.
 class SoakCallers {
 public:
   struct Counts {
@@ -18,11 +18,11 @@
     int Refused = 0;
     int Failed = 0;
     int Unknown = 0;
-    int Left = 0;
-    /// Refused for being beyond a limit.
+    int Aborted = 0;
+    /// Refused because a workspace was over its limit.
     int Limited = 0;
-    /// Revoked keys that were tried, and those of them that were let in.
-    int RevokedTried = 0;
+    /// Requests sent with a revoked key, and those of them that were served.
+    int RevokedSent = 0;
     int RevokedServed = 0;
   };
 
@@ -30,45 +30,47 @@
               std::list<std::unique_ptr<SoakNode>> &nodes, SoakHistory &history,
               std::uint64_t seed);
 
-  /// Requests a second from now on.
+  /// Sets the request rate, per second.
   void setRate(double rate) { Rate = rate; }
-  /// Newest version of the plan that the store has taken.
+  /// Sets the newest version of the plan that the store has accepted.
   void setPlan(std::uint64_t version) { Plan = version; }
-  /// Time between sendings of a request that crashes replicas; none if 0.
-  void setCrashingEvery(Span every) { CrashingEvery = every; }
-  /// Callers belong to these workspaces and show their keys.
+  /// Sets the interval between requests that crash replicas; none are sent if
+  /// 0.
+  void setCrashingInterval(Span interval) { CrashingInterval = interval; }
+  /// Makes callers send the keys of these workspaces; not owned.
   void setWorkspaces(SoakWorkspaces *all) { Workspaces = all; }
   void start();
-  void stop() { Going = false; }
-  bool idle() const { return Open == 0; }
-  const Counts &counts() const { return Seen; }
-  /// The addresses that callers were last named.
-  const std::vector<std::string> &named() const { return Known.All; }
+  void stop() { Running = false; }
+  bool isIdle() const { return OpenCalls == 0; }
+  const Counts &counts() const { return Totals; }
+  /// Returns the addresses that the directory last returned.
+  const std::vector<std::string> &knownAddresses() const { return Targets.All; }
 
 private:
-  struct Sending;
+  struct Call;
   struct Addresses {
     std::vector<std::string> All;
     Instant AskedAt{};
     Span TimeToLive{0};
   };
 
-  void next();
-  void ask();
+  void sendNext();
+  void queryDirectory();
   void send();
-  /// One caller sends the same request again and again, to any gateway.
-  void sendCrashing();
-  void probe(SoakNode &node);
-  void probeAll();
-  /// Shows a key that the plan in force has taken away.
-  void probeRevoked(SoakNode &node);
+  /// Sends the request that crashes replicas, always the same one, to a random
+  /// gateway.
+  void sendCrashingRequest();
+  void probePlan(SoakNode &node);
+  void probeNodes();
+  /// Sends a request with a key that the plan in force has revoked.
+  void probeRevokedKey(SoakNode &node);
   void addKey(HttpRequestHead &head, const std::string &workspace) const;
-  std::shared_ptr<Sending> draw();
-  void onHead(Sending &sending, const HttpAnswerHead &head);
-  void finish(const std::shared_ptr<Sending> &sending, std::string outcome,
+  std::shared_ptr<Call> drawCall();
+  void onHead(Call &call, const HttpAnswerHead &head);
+  void finish(const std::shared_ptr<Call> &call, std::string outcome,
               std::string fault = "");
-  void onDone(const std::shared_ptr<Sending> &sending);
-  std::string nameOf(const std::string &address) const;
+  void onDone(const std::shared_ptr<Call> &call);
+  std::string nodeNameOf(const std::string &address) const;
 
   asio::io_context &Context;
   std::list<std::unique_ptr<SoakNode>> &Nodes;
@@ -76,18 +78,19 @@
   SoakWorkspaces *Workspaces = nullptr;
   TimerService Timers;
   HttpPool Pool;
-  HttpCaller Asking;
+  HttpCaller DirectoryCaller;
   std::mt19937_64 Random;
-  Addresses Known;
+  Addresses Targets;
   double Rate = 40;
-  Span CrashingEvery{0};
-  /// Of its own, so that what else a seed draws stays as it is.
+  Span CrashingInterval{0};
+  /// A separate generator, so that its use doesn't change what the same seed
+  /// draws elsewhere.
   std::mt19937_64 CrashingRandom;
   std::uint64_t Plan = 0;
-  bool Going = false;
-  int Open = 0;
-  std::uint64_t Number = 0;
-  Counts Seen;
+  bool Running = false;
+  int OpenCalls = 0;
+  std::uint64_t LastId = 0;
+  Counts Totals;
   std::vector<TimerService::Subscription> Subscriptions;
 };
 
--- a/UnitTests/Platform/Soak/SoakHistory.h
+++ b/UnitTests/Platform/Soak/SoakHistory.h
@@ -7,12 +7,13 @@
 
 namespace hemlockglade::soak {
 
-/// What the soak's callers and stand-ins saw, in the words of the history
-/// checker (StandIns/HISTORY.md).
+/// Events that the soak's callers and stand-ins record, in the format of the
+/// history checker (StandIns/HISTORY.md).
 class SoakHistory {
 public:
-  /// Notes an event of now; gives it to be filled in before the next one.
-  HistoryEvent &note(std::string who, std::string event) {
+  /// Appends an event with the current time. The caller fills in its fields;
+  /// the reference is valid until the next event is recorded.
+  HistoryEvent &record(std::string who, std::string event) {
     auto &out = Events.emplace_back();
     out.At = TimerService::now();
     out.Who = std::move(who);
@@ -20,7 +21,7 @@
     return out;
   }
 
-  /// Everything so far, each with a line for excerpts.
+  /// Moves out all events, each with a line of text for printed excerpts.
   std::vector<HistoryEvent> take();
 
 private:
--- a/UnitTests/Platform/Soak/SoakMain.cpp
+++ b/UnitTests/Platform/Soak/SoakMain.cpp
@@ -1,5 +1,5 @@
-// Real gateways under load while things fail, all drawn from a seed, and a
-// verdict from what callers and replicas saw.
+// Runs real gateways under load with faults drawn from a seed, and prints a
+// verdict from the events that callers and replicas recorded.
 
 #include "Hemlockglade/Protocol/Settings/GatewaySettings.h"
 #include "UnitTests/History/HistoryChecker.h"
@@ -11,33 +11,40 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_uint64(seed, 1, "what happens follows from it; when, not quite");
-DEFINE_double(seconds, 20, "how long things fail, in seconds");
-DEFINE_string(program, "build/hemlockgladed", "the gateway's program");
+DEFINE_uint64(
+    seed, 1,
+    "seed of all random choices; the timing still varies between runs");
+DEFINE_double(seconds, 20, "how long faults are injected, in seconds");
+DEFINE_string(program, "build/hemlockgladed", "path of the gateway's program");
 DEFINE_string(folder, "", "folder for settings and logs; a new one if empty");
-DEFINE_int32(nodes, 6, "gateways");
-DEFINE_int32(engines, 6, "engines");
-DEFINE_double(rate, 40, "requests a second");
-DEFINE_double(recovery, 12, "time to serve again after faults, in seconds");
-DEFINE_string(plant, "",
-              "a breach that the verdict has to find: workspace, swap, twice "
-              "or refused");
+DEFINE_int32(nodes, 6, "number of gateways");
+DEFINE_int32(engines, 6, "number of engines");
+DEFINE_double(rate, 40, "requests per second");
+DEFINE_double(
+    recovery, 12,
+    "time after the faults until the deployment must serve again, in seconds");
+DEFINE_string(
+    plant, "",
+    "a violation that the verdict has to find: workspace, swap, twice "
+    "or refused");
 DEFINE_double(fault_every, 0.7, "mean time between faults, in seconds");
 DEFINE_double(crashing_every, 0,
-              "time between sendings of a request that crashes the replicas "
-              "that run it, in seconds; 0 for none");
-DEFINE_double(drill_every, 0,
-              "time between returns of the store as it was some seconds "
-              "before, in seconds; 0 for none");
+              "time between requests that crash the replicas that run them, in "
+              "seconds; 0 for none");
+DEFINE_double(
+    drill_every, 0,
+    "time between reverts of the store to a state some seconds older, "
+    "in seconds; 0 for none");
 DEFINE_double(entries_every, 0,
-              "time between losses of all gateways that callers were last "
-              "named, in seconds; 0 for none");
+              "time between faults of all gateways that the directory last "
+              "returned to callers, in seconds; 0 for none");
 
 DEFINE_double(names_every, 0,
-              "time between names of new versions of few adapters, in seconds; "
-              "0 for none");
+              "time between declarations of new versions of a few adapters, in "
+              "seconds; 0 for none");
 DEFINE_bool(workspaces, false,
-            "callers belong to workspaces with keys, one beyond its limit");
+            "callers belong to workspaces with keys, of which one exceeds its "
+            "limit");
 
 namespace hemlockglade::soak {
 
@@ -45,105 +52,110 @@
 
 constexpr int UsageError = 2;
 
-/// A request that has crashed three replicas may reach three more later than
-/// the time in which all nodes have to know.
-bool judgeCrashes(const SoakWorld &world) {
-  constexpr std::size_t Convicts = 3;
-  constexpr std::ptrdiff_t Allowed = 3;
-  constexpr auto KnownWithin = std::chrono::seconds(3);
+/// Checks that a request is barred after it has crashed three replicas. Up to
+/// three more crashes may come later than the time in which all nodes must have
+/// received this.
+bool checkCrashes(const SoakWorld &world) {
+  constexpr std::size_t BarredAfter = 3;
+  constexpr std::ptrdiff_t MaxLate = 3;
+  constexpr auto PropagationTime = std::chrono::seconds(3);
   const auto &all = world.crashes();
   std::ptrdiff_t late = 0;
-  if (all.size() >= Convicts)
+  if (all.size() >= BarredAfter)
     late = std::count_if(all.begin(), all.end(),
-                         [from = all[Convicts - 1] + KnownWithin](
+                         [from = all[BarredAfter - 1] + PropagationTime](
                              const auto &at) { return at > from; });
-  bool holds = late <= Allowed;
-  std::cout << (holds ? "held    " : "BROKEN  ")
+  bool isHeld = late <= MaxLate;
+  std::cout << (isHeld ? "held    " : "BROKEN  ")
             << "a request that crashes replicas is sent to few: " << all.size()
             << " crashed, " << late << " of them late\n";
-  return holds;
+  return isHeld;
 }
 
-bool say(bool holds, const std::string &what) {
-  std::cout << (holds ? "held    " : "BROKEN  ") << what << '\n';
-  return holds;
+bool printResult(bool isHeld, const std::string &what) {
+  std::cout << (isHeld ? "held    " : "BROKEN  ") << what << '\n';
+  return isHeld;
 }
 
-bool judgeWorkspaces(const SoakWorld &world) {
+bool checkWorkspaces(const SoakWorld &world) {
   const auto *all = world.workspaces();
   if (!all)
     return true;
-  bool known = say(all->faults().empty(),
-                   "each run is its caller's workspace's, without a key: " +
-                       std::to_string(all->faults().size()) + " are not");
-  if (!known)
-    std::cout << "  " << all->faults().front() << '\n';
-  auto [most, allowed] = all->mostInWindow();
-  bool held =
-      say(static_cast<double>(most) <= allowed,
-          "a limit holds over all gateways: " + std::to_string(most) +
-              " run in a window, " + std::to_string(allowed) + " may be");
+  bool isKnown =
+      printResult(all->violations().empty(),
+                  "each run is its caller's workspace's, without a key: " +
+                      std::to_string(all->violations().size()) + " are not");
+  if (!isKnown)
+    std::cout << "  " << all->violations().front() << '\n';
+  auto [maxRuns, allowed] = all->maxRunsInWindow();
+  bool isHeld = printResult(
+      static_cast<double>(maxRuns) <= allowed,
+      "a limit holds over all gateways: " + std::to_string(maxRuns) +
+          " run in a window, " + std::to_string(allowed) + " may be");
   for (const auto &name : SoakWorkspaces::names())
-    held = say(all->runsOf(name) > 0,
-               "nobody starves: " + std::to_string(all->runsOf(name)) +
-                   " run of " + name) &&
-           held;
-  auto [tried, served] = world.quietRevoked();
-  return say(served == 0,
-             "a revoked key is refused: " + std::to_string(served) + " of " +
-                 std::to_string(tried) + " served") &&
-         held;
+    isHeld =
+        printResult(all->runCountOf(name) > 0,
+                    "nobody starves: " + std::to_string(all->runCountOf(name)) +
+                        " run of " + name) &&
+        isHeld;
+  auto [sent, served] = world.quietRevoked();
+  return printResult(served == 0,
+                     "a revoked key is refused: " + std::to_string(served) +
+                         " of " + std::to_string(sent) + " served") &&
+         isHeld;
 }
 
-bool judgeBeginnings(const std::vector<HistoryEvent> &events, Span bound) {
-  constexpr auto Contact = std::chrono::seconds(3);
+bool checkVersionBound(const std::vector<HistoryEvent> &events, Span bound) {
+  constexpr auto ContactTime = std::chrono::seconds(3);
   constexpr std::size_t Shown = 5;
-  auto found = judgeVersions(events, bound, Contact);
-  say(found.Late.empty(),
+  auto findings = checkVersions(events, bound, ContactTime);
+  printResult(
+      findings.Late.empty(),
       "requests begin on versions that were not replaced beyond the bound: " +
-          std::to_string(found.Late.size()) + " of " +
-          std::to_string(found.Replaced) + " on replaced ones are late");
-  for (std::size_t it = 0; it < std::min(Shown, found.Late.size()); ++it)
-    std::cout << "  " << found.Late[it] << '\n';
-  return found.Late.empty();
+          std::to_string(findings.Late.size()) + " of " +
+          std::to_string(findings.Replaced) + " on replaced ones are late");
+  for (std::size_t it = 0; it < std::min(Shown, findings.Late.size()); ++it)
+    std::cout << "  " << findings.Late[it] << '\n';
+  return findings.Late.empty();
 }
 
-bool judge(SoakWorld &world, Span versionBound) {
+bool printVerdict(SoakWorld &world, Span versionBound) {
   HistoryBounds bounds;
   bounds.Configuration = GatewaySettings{}.PlanBound;
   auto events = world.history().take();
-  bool held = judgeBeginnings(events, versionBound);
+  bool isHeld = checkVersionBound(events, versionBound);
   HistoryChecker checker(std::move(events), bounds);
   for (const auto &verdict : checker.check()) {
     constexpr std::size_t Shown = 5;
     print(std::cout, verdict, Shown);
-    held = held && verdict.Violations.empty();
+    isHeld = isHeld && verdict.Violations.empty();
   }
-  // Nine in ten: callers of the last faults may still come to their ends.
-  constexpr double LeastServed = 0.9;
-  auto [sent, complete] = world.quietEnd();
-  bool serves = complete >= LeastServed * sent;
-  std::cout << (serves ? "held    " : "BROKEN  ")
+  // Not all: requests affected by the last faults may still end in this time.
+  constexpr double MinServedShare = 0.9;
+  auto [sent, complete] = world.quietCounts();
+  bool servesAgain = complete >= MinServedShare * sent;
+  std::cout << (servesAgain ? "held    " : "BROKEN  ")
             << "serves again: " << complete << " of " << sent << " complete\n";
-  bool lives = world.selfEnds() == 0;
-  std::cout << (lives ? "held    " : "BROKEN  ")
-            << "no gateway ends by itself: " << world.selfEnds() << " ends\n";
-  return judgeCrashes(world) && judgeWorkspaces(world) && held && serves &&
-         lives;
+  bool noUnexpectedEnds = world.unexpectedEnds() == 0;
+  std::cout << (noUnexpectedEnds ? "held    " : "BROKEN  ")
+            << "no gateway ends by itself: " << world.unexpectedEnds()
+            << " ends\n";
+  return checkCrashes(world) && checkWorkspaces(world) && isHeld &&
+         servesAgain && noUnexpectedEnds;
 }
 
-std::optional<SoakReplica::Plant> plantNamed(std::string_view name) {
-  using Plant = SoakReplica::Plant;
+std::optional<SoakReplica::PlantedViolation> parsePlant(std::string_view name) {
+  using PlantedViolation = SoakReplica::PlantedViolation;
   if (name.empty())
-    return Plant::None;
+    return PlantedViolation::None;
   if (name == "swap")
-    return Plant::SwapsAnswers;
+    return PlantedViolation::SwapsAnswers;
   if (name == "twice")
-    return Plant::RunsTwice;
+    return PlantedViolation::RunsTwice;
   if (name == "refused")
-    return Plant::RunsRefused;
+    return PlantedViolation::RunsRefused;
   if (name == "workspace")
-    return Plant::MistakesWorkspace;
+    return PlantedViolation::WrongWorkspace;
   return std::nullopt;
 }
 
@@ -162,31 +174,31 @@
   settings.Nodes = FLAGS_nodes;
   settings.Engines = FLAGS_engines;
   settings.Rate = FLAGS_rate;
-  settings.FaultEvery = spanOf(FLAGS_fault_every);
-  settings.EntriesEvery = spanOf(FLAGS_entries_every);
-  settings.DrillEvery = spanOf(FLAGS_drill_every);
-  settings.NamesEvery = spanOf(FLAGS_names_every);
-  // Short, so that short runs pass it often.
+  settings.FaultInterval = spanOf(FLAGS_fault_every);
+  settings.EntriesInterval = spanOf(FLAGS_entries_every);
+  settings.RevertInterval = spanOf(FLAGS_drill_every);
+  settings.VersionInterval = spanOf(FLAGS_names_every);
+  // Short, so that short runs exceed it often.
   if (FLAGS_names_every > 0)
     settings.VersionBound = std::chrono::seconds(2);
   settings.Workspaces = FLAGS_workspaces;
-  settings.CrashingEvery = spanOf(FLAGS_crashing_every);
+  settings.CrashingInterval = spanOf(FLAGS_crashing_every);
   settings.Recovery = spanOf(FLAGS_recovery);
-  auto planted = plantNamed(FLAGS_plant);
+  auto planted = parsePlant(FLAGS_plant);
   if (!planted) {
     std::cerr << "platform_soak: no plant is called " << FLAGS_plant << '\n';
     return UsageError;
   }
   settings.Planted = *planted;
   SoakWorld world(settings);
-  world.play(spanOf(FLAGS_seconds));
+  world.runScenario(spanOf(FLAGS_seconds));
   const auto &counts = world.counts();
   std::cout << "seed " << FLAGS_seed << ": " << counts.Sent << " sent, "
             << counts.Complete << " complete, " << counts.Refused
             << " refused, " << counts.Failed << " failed, " << counts.Unknown
-            << " unknown, " << counts.Left << " left; logs in "
+            << " unknown, " << counts.Aborted << " left; logs in "
             << settings.Folder << '\n';
-  return judge(world, settings.VersionBound) ? 0 : 1;
+  return printVerdict(world, settings.VersionBound) ? 0 : 1;
 }
 
 } // namespace
--- a/UnitTests/Platform/Soak/SoakNode.h
+++ b/UnitTests/Platform/Soak/SoakNode.h
@@ -8,7 +8,7 @@
 
 namespace hemlockglade::soak {
 
-/// One real gateway process and the link between it and the store.
+/// A real gateway process and the proxy between it and the store.
 class SoakNode {
 public:
   struct Settings {
@@ -16,14 +16,15 @@
     std::string Folder;
     std::string Name;
     std::string FailureDomain;
-    /// Numeric loopback address of its own.
+    /// Numeric loopback address that no other node uses.
     std::string Address;
     std::uint16_t FirstPort = 0;
     std::vector<std::string> Seeds;
-    /// Time within which requests must begin on weights that were named newer.
+    /// How long requests may still begin on a version of weights that has been
+    /// replaced.
     Span VersionBound{0};
   };
-  /// Longest time that a node may take to stop.
+  /// Maximum time that a node may take to stop.
   static constexpr Span StopBound = std::chrono::seconds(4);
 
   SoakNode(asio::io_context &context, Settings settings,
@@ -33,43 +34,45 @@
   void start();
   void kill();
   void pause();
-  void wake();
+  void resume();
   void terminate();
   void reload();
-  /// Something keeps it from the store, or no longer does; several things may
-  /// at once. It can't know then what the store says.
-  void disturb(bool begins);
-  /// Looks whether the process has ended; a node that was told to stop and has
-  /// not done so in time is killed, which the history shows as no clean exit.
-  void look();
+  /// Called when something begins or ends to separate the node from the store,
+  /// so that it can't receive changes. Several disturbances may overlap; the
+  /// history shows the node as paused while there is one.
+  void onDisturbance(bool hasBegun);
+  /// Checks whether the process has ended. Kills a node that was ordered to
+  /// stop and has not done so in time; the history shows no clean exit then.
+  void checkProcess();
 
-  const std::string &name() const { return Setup.Name; }
-  const std::string &domain() const { return Setup.FailureDomain; }
-  std::string caller() const { return at(0); }
-  std::string directory() const { return at(2); }
-  bool running() const { return Pid > 0; }
-  bool paused() const { return Paused; }
-  bool stopping() const { return StoppingSince.has_value(); }
-  /// Times that it ended by itself.
-  int selfEnds() const { return SelfEnds; }
+  const std::string &name() const { return Options.Name; }
+  const std::string &domain() const { return Options.FailureDomain; }
+  std::string callerAddress() const { return addressAt(0); }
+  std::string directoryAddress() const { return addressAt(2); }
+  bool isRunning() const { return Pid > 0; }
+  bool isPaused() const { return Paused; }
+  bool isStopping() const { return StoppingSince.has_value(); }
+  /// Returns how often the process ended without being killed or ordered to
+  /// stop.
+  int unexpectedEnds() const { return UnexpectedEnds; }
   SoakProxy &link() { return Link; }
 
 private:
-  std::string at(int offset) const {
-    return Setup.Address + ":" + std::to_string(Setup.FirstPort + offset);
+  std::string addressAt(int offset) const {
+    return Options.Address + ":" + std::to_string(Options.FirstPort + offset);
   }
   void writeSettings() const;
-  void ended(int status);
-  HistoryEvent &note(std::string event);
+  void onEnded(int status);
+  HistoryEvent &record(std::string event);
 
-  Settings Setup;
+  Settings Options;
   SoakHistory &History;
   SoakProxy Link;
   pid_t Pid = 0;
   bool Paused = false;
   bool Killed = false;
-  int Disturbed = 0;
-  int SelfEnds = 0;
+  int Disturbances = 0;
+  int UnexpectedEnds = 0;
   std::optional<Instant> StoppingSince;
 };
 
--- a/UnitTests/Platform/Soak/SoakProxy.cpp
+++ b/UnitTests/Platform/Soak/SoakProxy.cpp
@@ -27,8 +27,8 @@
 
   tcp::socket Caller;
   tcp::socket Server;
-  std::array<char, 16384> Towards{};
-  std::array<char, 16384> Back{};
+  std::array<char, 16384> ToServer{};
+  std::array<char, 16384> ToCaller{};
 };
 
 SoakProxy::SoakProxy(asio::io_context &context, std::uint16_t target)
@@ -48,23 +48,23 @@
       pipe->reset();
 }
 
-void SoakProxy::setHarm(Harm harm) {
-  if (harm == Harm::Reset || harm == Harm::None)
+void SoakProxy::setFault(Fault fault) {
+  if (fault == Fault::Reset || fault == Fault::None)
     resetAll();
-  Now = harm;
+  CurrentFault = fault;
 }
 
-void SoakProxy::close(Remains remains) {
+void SoakProxy::close(ClosedMode mode) {
   asio::error_code ec;
-  if (remains == Remains::Nothing)
+  if (mode == ClosedMode::NoListener)
     Acceptor.close(ec);
-  Answers = remains != Remains::SilentListener;
+  Forwards = mode != ClosedMode::SilentListener;
   resetAll();
 }
 
 void SoakProxy::open() {
-  Answers = true;
-  for (auto &it : std::exchange(Held, {}))
+  Forwards = true;
+  for (auto &it : std::exchange(HeldPipes, {}))
     it->reset();
   if (Acceptor.is_open())
     return;
@@ -78,10 +78,10 @@
       pipe->Caller, [this, pipe, alive = Alive](asio::error_code ec) {
         if (!*alive || ec == asio::error::operation_aborted)
           return;
-        if (!ec && Now == Harm::Reset)
+        if (!ec && CurrentFault == Fault::Reset)
           pipe->reset();
-        else if (!ec && !Answers)
-          Held.push_back(pipe);
+        else if (!ec && !Forwards)
+          HeldPipes.push_back(pipe);
         else if (!ec)
           pipe->Server.async_connect(
               loopback(Target), [this, pipe, alive](asio::error_code ec) {
@@ -96,18 +96,19 @@
       });
 }
 
-void SoakProxy::pump(const std::shared_ptr<Pipe> &pipe, bool towards) {
-  auto &from = towards ? pipe->Caller : pipe->Server;
-  auto &to = towards ? pipe->Server : pipe->Caller;
-  auto &buf = towards ? pipe->Towards : pipe->Back;
+void SoakProxy::pump(const std::shared_ptr<Pipe> &pipe, bool toServer) {
+  auto &from = toServer ? pipe->Caller : pipe->Server;
+  auto &to = toServer ? pipe->Server : pipe->Caller;
+  auto &buf = toServer ? pipe->ToServer : pipe->ToCaller;
   from.async_read_some(
-      asio::buffer(buf), [this, pipe, towards, &to, &buf,
+      asio::buffer(buf), [this, pipe, toServer, &to, &buf,
                           alive = Alive](asio::error_code ec, std::size_t n) {
         if (!*alive)
           return;
-        bool swallows = Now == Harm::Silent || (Now == Harm::OneWay && towards);
-        if (swallows)
-          return ec ? void() : pump(pipe, towards);
+        bool isDropped = CurrentFault == Fault::Silent ||
+                         (CurrentFault == Fault::OneWay && toServer);
+        if (isDropped)
+          return ec ? void() : pump(pipe, toServer);
         if (ec == asio::error::eof) {
           asio::error_code ignored;
           to.shutdown(tcp::socket::shutdown_send, ignored);
@@ -115,22 +116,22 @@
         }
         if (ec)
           return pipe->reset();
-        auto pass = [this, pipe, towards, &to, &buf, alive, n](Instant) {
+        auto forward = [this, pipe, toServer, &to, &buf, alive, n](Instant) {
           asio::async_write(
               to, asio::buffer(buf.data(), n),
-              [this, pipe, towards, alive](asio::error_code ec, std::size_t) {
+              [this, pipe, toServer, alive](asio::error_code ec, std::size_t) {
                 if (!*alive)
                   return;
                 if (ec)
                   return pipe->reset();
-                pump(pipe, towards);
+                pump(pipe, toServer);
               });
         };
-        constexpr auto Late = std::chrono::milliseconds(60);
-        if (Now == Harm::Delayed)
-          Timers.after(Late, pass);
+        constexpr auto DelayTime = std::chrono::milliseconds(60);
+        if (CurrentFault == Fault::Delayed)
+          Timers.after(DelayTime, forward);
         else
-          pass(Instant{});
+          forward(Instant{});
       });
 }
 
--- a/UnitTests/Platform/Soak/SoakProxy.h
+++ b/UnitTests/Platform/Soak/SoakProxy.h
@@ -7,56 +7,62 @@
 
 namespace hemlockglade::soak {
 
-/// A TCP proxy on loopback before one address, which can harm what goes
-/// through it.
+/// A TCP proxy on loopback before one address, which can inject faults into its
+/// connections.
 class SoakProxy {
 public:
-  enum class Harm : std::uint8_t {
+  enum class Fault : std::uint8_t {
     None,
-    /// Bytes come 60 ms late.
+    /// Data arrives 60 ms late.
     Delayed,
-    /// Connections are reset, new ones at once.
+    /// Connections are reset, new ones as soon as they are accepted.
     Reset,
-    /// Nothing comes through, either way; connections stay.
+    /// Data is dropped in both directions; connections stay open.
     Silent,
-    /// Nothing comes through towards the address; answers do.
+    /// Data towards the address is dropped; answers are forwarded.
     OneWay,
   };
 
-  /// What meets connections to an address whose process is gone.
-  enum class Remains : std::uint8_t { Nothing, Forwarder, SilentListener };
+  /// What accepts connections to an address whose process has ended: nothing, a
+  /// proxy that can't reach the process, or a listener that never answers.
+  enum class ClosedMode : std::uint8_t {
+    NoListener,
+    Forwarder,
+    SilentListener
+  };
 
   SoakProxy(asio::io_context &context, std::uint16_t target);
   ~SoakProxy();
 
   std::uint16_t port() const { return Acceptor.local_endpoint().port(); }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-  /// Also ends the connections that the last harm has held up: they would stay
-  /// silent for good.
-  void setHarm(Harm harm);
-  Harm harm() const { return Now; }
-  /// From now on another port is meant.
+  /// Sets the fault. With `None` and `Reset` it also resets all connections:
+  /// those whose data was dropped would stay silent forever.
+  void setFault(Fault fault);
+  Fault fault() const { return CurrentFault; }
+  /// Sets the port that new connections are forwarded to.
   void setTarget(std::uint16_t target) { Target = target; }
-  /// The process behind the address is gone.
-  void close(Remains remains = Remains::Nothing);
-  /// One is there again; at a new port, if nothing has remained.
+  /// Called when the process behind the address has ended.
+  void close(ClosedMode mode = ClosedMode::NoListener);
+  /// Called when a process runs again. The proxy listens at a new port if it
+  /// was closed with `NoListener`.
   void open();
 
 private:
   struct Pipe;
 
   void accept();
-  void pump(const std::shared_ptr<Pipe> &pipe, bool towards);
+  void pump(const std::shared_ptr<Pipe> &pipe, bool toServer);
   void resetAll();
 
   asio::io_context &Context;
   TimerService Timers;
   asio::ip::tcp::acceptor Acceptor;
   std::uint16_t Target;
-  Harm Now = Harm::None;
-  bool Answers = true;
-  /// Connections that a listener has accepted for nobody.
-  std::list<std::shared_ptr<Pipe>> Held;
+  Fault CurrentFault = Fault::None;
+  bool Forwards = true;
+  /// Connections that were accepted but never forwarded (`SilentListener`).
+  std::list<std::shared_ptr<Pipe>> HeldPipes;
   std::list<std::weak_ptr<Pipe>> Pipes;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
--- a/UnitTests/Platform/Soak/SoakReplica.cpp
+++ b/UnitTests/Platform/Soak/SoakReplica.cpp
@@ -10,15 +10,15 @@
 using Json = nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr auto BeatEvery = milliseconds(400);
-constexpr auto StepEvery = milliseconds(8);
+constexpr auto HeartbeatInterval = milliseconds(400);
+constexpr auto StepInterval = milliseconds(8);
 constexpr auto LoadTime = milliseconds(60);
-/// How long a replica that leaves still serves, and then is gone.
-constexpr auto ServesOn = milliseconds(2600);
-/// How soon a request that crashes its replica does so, and how soon the
-/// replica is back.
-constexpr auto CrashAfter = milliseconds(20);
-constexpr auto BackAfter = milliseconds(1500);
+/// How long a draining replica still serves before it ends.
+constexpr auto DrainTime = milliseconds(2600);
+/// How soon a request crashes its replica, and how soon after that the replica
+/// starts again.
+constexpr auto CrashDelay = milliseconds(20);
+constexpr auto RestartDelay = milliseconds(1500);
 constexpr std::size_t MaxConnections = 400;
 
 std::string field(const CallerRequest &request, std::string_view name) {
@@ -33,11 +33,11 @@
          std::to_string(number) + "\n\n";
 }
 
-std::string site::wholeText(const std::string &tag, bool stream) {
+std::string site::fullText(const std::string &tag, bool stream) {
   if (!stream)
     return "answer to " + tag;
   std::string out;
-  for (int it = 1; it <= Events; ++it)
+  for (int it = 1; it <= StreamEvents; ++it)
     out += eventText(tag, it);
   return out;
 }
@@ -53,19 +53,19 @@
   std::string Tag;
   std::string Adapter;
   std::uint64_t Version = 0;
-  /// 0 until it begins to run.
+  /// Number of the run; 0 until the request begins to run.
   std::uint64_t Number = 0;
   bool Stream = false;
-  bool BreaksOff = false;
-  int Next = 1;
-  bool Begun = false;
-  bool Over = false;
+  bool IsTruncated = false;
+  int NextEvent = 1;
+  bool HeadSent = false;
+  bool Ended = false;
 };
 
 SoakReplica::SoakReplica(asio::io_context &context, Settings settings,
                          SoakStore &store, SoakHistory &history,
                          std::uint64_t seed)
-    : Context(context), Setup(std::move(settings)), Store(store),
+    : Context(context), Options(std::move(settings)), Store(store),
       History(history), Timers(context), Random(seed), DelayRandom(seed),
       Link(context, 1) {
   start();
@@ -75,16 +75,16 @@
 
 void SoakReplica::start() {
   Incarnation = "i-" + std::to_string(Random());
-  Leaving = false;
-  Now = Mood::Well;
-  Count = 0;
-  Held.clear();
-  Pending.clear();
-  Going.clear();
-  Uses.clear();
+  Draining = false;
+  CurrentMode = Mode::Healthy;
+  Revision = 0;
+  Loaded.clear();
+  Loading.clear();
+  Evicting.clear();
+  UseCounts.clear();
   CallerHooks hooks;
   hooks.Bounds = [] { return CallerBounds{}; };
-  hooks.Closing = [this] { return Leaving; };
+  hooks.Closing = [this] { return Draining; };
   hooks.OnRequest = [this](const CallerRequest &request, auto reply) {
     serve(request, reply);
   };
@@ -93,13 +93,14 @@
       MaxConnections, std::move(hooks));
   Link.open();
   Link.setTarget(Server->port());
-  note("started");
-  Beat = Timers.every(BeatEvery, [this](Instant) { beat(); });
-  beat();
+  record("started");
+  HeartbeatTimer =
+      Timers.every(HeartbeatInterval, [this](Instant) { sendHeartbeat(); });
+  sendHeartbeat();
 }
 
 void SoakReplica::crash() {
-  Beat.reset();
+  HeartbeatTimer.reset();
   auto running = std::exchange(Running, {});
   for (const auto &it : running) {
     it->Reply->OnGone = nullptr;
@@ -107,48 +108,51 @@
     it->Reply->abort();
   }
   Server.reset();
-  // The random choice follows the start, so that others stay as they are.
+  // Derived from the incarnation rather than drawn, so that later draws from
+  // the seed stay the same.
   constexpr std::size_t Kinds = 3;
-  Link.close(static_cast<SoakProxy::Remains>(
+  Link.close(static_cast<SoakProxy::ClosedMode>(
       std::hash<std::string>{}(Incarnation) % Kinds));
-  // Its entry lapses after three beats without one.
-  Timers.after(3 * BeatEvery,
-               [this, gone = Incarnation, alive = Alive](Instant) {
+  // Its registry entry expires after three heartbeat intervals.
+  Timers.after(3 * HeartbeatInterval,
+               [this, expected = Incarnation, alive = Alive](Instant) {
                  if (*alive)
-                   Store.remove(platform_name::ReplicaTable, gone);
+                   Store.remove(platform_name::ReplicaTable, expected);
                });
 }
 
-void SoakReplica::leave() {
-  if (Leaving || !up())
+void SoakReplica::drain() {
+  if (Draining || !isRunning())
     return;
-  Leaving = true;
-  // What it has taken begins before the time from which nothing may.
+  Draining = true;
+  // Accepted requests begin now, before the bound after which a draining
+  // endpoint must not get new work.
   for (const auto &it : std::set(Running))
     if (!it->Number)
       begin(it);
-  beat();
-  auto &event = note("listed");
+  sendHeartbeat();
+  auto &event = record("listed");
   event.Endpoint = Incarnation;
   event.Leaving = true;
-  Timers.after(ServesOn, [this, gone = Incarnation, alive = Alive](Instant) {
-    if (*alive && up() && Incarnation == gone)
-      crash();
-  });
+  Timers.after(DrainTime,
+               [this, expected = Incarnation, alive = Alive](Instant) {
+                 if (*alive && isRunning() && Incarnation == expected)
+                   crash();
+               });
 }
 
-std::string SoakReplica::entry() const {
-  Json node{{"service", Setup.Service},
+std::string SoakReplica::registryEntry() const {
+  Json node{{"service", Options.Service},
             {"address", Link.address()},
-            {"zone", Setup.FailureDomain},
+            {"zone", Options.FailureDomain},
             {"version", "v1"},
             {"slots", 8},
-            {"sequence", Beats},
+            {"sequence", Heartbeats},
             {"cold_remaining_ms", 0},
-            {"state", Leaving ? "draining" : "ready"}};
-  if (Setup.Engine) {
+            {"state", Draining ? "draining" : "ready"}};
+  if (Options.Engine) {
     Json adapters = Json::array();
-    for (const auto &[name, version] : Held)
+    for (const auto &[name, version] : Loaded)
       adapters.push_back(name + "@" + std::to_string(version));
     node["models"] = Json::array(
         {{{"name", site::Model}, {"version", 1}, {"adapters", adapters}}});
@@ -156,30 +160,30 @@
   return node.dump();
 }
 
-void SoakReplica::beat() {
-  ++Beats;
-  Store.put(platform_name::ReplicaTable, Incarnation, entry());
+void SoakReplica::sendHeartbeat() {
+  ++Heartbeats;
+  Store.put(platform_name::ReplicaTable, Incarnation, registryEntry());
 }
 
 void SoakReplica::serve(const CallerRequest &request,
                         const std::shared_ptr<CallerReply> &reply) {
   auto path = request.Head.path();
-  auto meant = field(request, platform_name::Incarnation);
+  auto requestedIncarnation = field(request, platform_name::Incarnation);
   auto tag = field(request, platform_name::RequestId);
-  if (!meant.empty() && meant != Incarnation)
+  if (!requestedIncarnation.empty() && requestedIncarnation != Incarnation)
     return refuse(*reply, 421, tag);
   if (path == platform_name::OrderCall)
-    return order(request, reply);
+    return onOrder(request, reply);
   if (path == platform_name::ReportCall)
     return reply->respond({200, {}}, report());
-  if (Now == Mood::Sheds)
+  if (CurrentMode == Mode::Sheds)
     return refuse(*reply, 503, tag);
-  run(request, reply);
+  accept(request, reply);
 }
 
 void SoakReplica::refuse(CallerReply &reply, std::uint16_t status,
                          const std::string &tag) {
-  auto &event = note("refused");
+  auto &event = record("refused");
   event.Tag = tag;
   event.Status = status;
   HttpAnswerHead head{
@@ -191,95 +195,96 @@
 }
 
 std::string SoakReplica::report() const {
-  Json node = Json::parse(entry());
+  Json node = Json::parse(registryEntry());
   Json pending = Json::array();
-  for (const auto &[name, version] : Pending)
+  for (const auto &[name, version] : Loading)
     pending.push_back(std::string(site::Model) + "/" + name + "@" +
                       std::to_string(version));
   node["pending"] = pending;
   node["busy"] = false;
-  node["sequence"] = Count;
+  node["sequence"] = Revision;
   return node.dump();
 }
 
-void SoakReplica::order(const CallerRequest &request,
-                        const std::shared_ptr<CallerReply> &reply) {
+void SoakReplica::onOrder(const CallerRequest &request,
+                          const std::shared_ptr<CallerReply> &reply) {
   auto node = Json::parse(request.Body);
-  auto &event = note("ordered");
+  auto &event = record("ordered");
   event.Holder = node.at("holder");
   event.Fence = node.at("fencing_token");
-  if (Now != Mood::LateOrders)
-    return reply->respond({carryOut(request.Body), {}}, "{}");
-  constexpr std::uint64_t MostMs = 5000;
-  auto late = milliseconds(1000 + DelayRandom() % MostMs);
-  Timers.after(late, [this, body = request.Body, reply, at = Incarnation,
-                      alive = Alive](Instant) {
-    if (*alive && up() && at == Incarnation)
-      carryOut(body);
+  if (CurrentMode != Mode::DelaysOrders)
+    return reply->respond({execute(request.Body), {}}, "{}");
+  constexpr std::uint64_t MaxDelayMs = 5000;
+  auto delay = milliseconds(1000 + DelayRandom() % MaxDelayMs);
+  Timers.after(delay, [this, body = request.Body, reply, expected = Incarnation,
+                       alive = Alive](Instant) {
+    if (*alive && isRunning() && expected == Incarnation)
+      execute(body);
   });
 }
 
-std::uint16_t SoakReplica::carryOut(const std::string &body) {
+std::uint16_t SoakReplica::execute(const std::string &body) {
   auto node = Json::parse(body);
-  auto expected = node.value("if_revision", Count);
-  if (expected != Count)
+  auto expected = node.value("if_revision", Revision);
+  if (expected != Revision)
     return 409;
   auto adapter = node.value("adapter", std::string());
   if (adapter.empty())
     return 200;
-  bool loads = node.at("operation") == "loading";
-  if (loads) {
+  bool isLoad = node.at("operation") == "loading";
+  if (isLoad) {
     auto version = node.value("version", std::uint64_t{1});
-    if (Held.contains(adapter) && Held[adapter] >= version)
+    if (Loaded.contains(adapter) && Loaded[adapter] >= version)
       return 200;
-    ++Count;
+    ++Revision;
     if (!load(adapter, version))
       asio::post(Context, [this, alive = Alive] {
-        if (*alive && up())
+        if (*alive && isRunning())
           crash();
       });
     return 202;
   }
-  ++Count;
-  bool used = Uses[adapter] > 0;
-  if (used)
-    Going.insert(adapter);
+  ++Revision;
+  bool isUsed = UseCounts[adapter] > 0;
+  if (isUsed)
+    Evicting.insert(adapter);
   else
     unload(adapter);
-  return used ? 202 : 200;
+  return isUsed ? 202 : 200;
 }
 
 bool SoakReplica::load(const std::string &adapter, std::uint64_t version) {
-  Pending[adapter] = version;
-  std::set<std::string> places;
-  for (const auto &[name, it] : Held)
-    places.insert(name);
-  for (const auto &[name, it] : Pending)
-    places.insert(name);
-  if (places.size() > site::AdapterPlaces) {
-    note("overloaded").Adapter = adapter;
+  Loading[adapter] = version;
+  std::set<std::string> slots;
+  for (const auto &[name, it] : Loaded)
+    slots.insert(name);
+  for (const auto &[name, it] : Loading)
+    slots.insert(name);
+  if (slots.size() > site::AdapterSlots) {
+    record("overloaded").Adapter = adapter;
     return false;
   }
-  Timers.after(LoadTime, [this, adapter, version, at = Incarnation,
+  Timers.after(LoadTime, [this, adapter, version, expected = Incarnation,
                           alive = Alive](Instant) {
-    if (!*alive || !up() || at != Incarnation || Pending.erase(adapter) == 0)
+    if (!*alive || !isRunning() || expected != Incarnation ||
+        Loading.erase(adapter) == 0)
       return;
-    Held[adapter] = version;
-    note("loaded").Adapter = std::string(site::Model) + "/" + adapter + "@" +
-                             std::to_string(version);
+    Loaded[adapter] = version;
+    record("loaded").Adapter = std::string(site::Model) + "/" + adapter + "@" +
+                               std::to_string(version);
   });
   return true;
 }
 
 void SoakReplica::unload(const std::string &adapter) {
-  Going.erase(adapter);
-  Pending.erase(adapter);
-  auto it = Held.find(adapter);
-  if (it == Held.end())
+  Evicting.erase(adapter);
+  Loading.erase(adapter);
+  auto it = Loaded.find(adapter);
+  if (it == Loaded.end())
     return;
-  note("evicted").Adapter = std::string(site::Model) + "/" + adapter + "@" +
-                            std::to_string(it->second);
-  Held.erase(it);
+  record("evicted").Adapter = std::string(site::Model) + "/" + adapter + "@" +
+                              std::to_string(it->second);
+  Loaded.erase(it);
 }
 
 HttpAnswerHead SoakReplica::head(std::uint16_t status, const Run &run) const {
@@ -296,79 +301,79 @@
   return out;
 }
 
-void SoakReplica::run(const CallerRequest &request,
-                      const std::shared_ptr<CallerReply> &reply) {
+void SoakReplica::accept(const CallerRequest &request,
+                         const std::shared_ptr<CallerReply> &reply) {
   auto it = std::make_shared<Run>();
   it->Request = request;
   it->Reply = reply;
   it->Tag = field(request, platform_name::RequestId);
-  it->Stream = Setup.Engine;
-  if (Setup.Engine) {
+  it->Stream = Options.Engine;
+  if (Options.Engine) {
     auto weights = field(request, platform_name::Weights);
     auto name = weights.substr(weights.find('/') + 1);
-    auto held = Held.find(name);
+    auto loaded = Loaded.find(name);
     auto wanted = field(request, platform_name::WeightsVersion);
-    if (held == Held.end() ||
-        (!wanted.empty() && wanted != std::to_string(held->second)))
+    if (loaded == Loaded.end() ||
+        (!wanted.empty() && wanted != std::to_string(loaded->second)))
       return refuse(*reply, 421, it->Tag);
-    if (Going.contains(name))
+    if (Evicting.contains(name))
       return refuse(*reply, 503, it->Tag);
     it->Adapter = weights;
-    it->Version = held->second;
-    ++Uses[name];
+    it->Version = loaded->second;
+    ++UseCounts[name];
   }
-  if (request.Head.Target.ends_with(site::CrashingTarget) && OnCrashing)
-    return crashUnder(reply, it->Tag);
+  if (request.Head.Target.ends_with(site::CrashingTargetSuffix) && OnCrash)
+    return crashAfterDelay(reply, it->Tag);
   Running.insert(it);
   reply->OnGone = [this, it, alive = Alive] {
     if (*alive)
       end(*it, "cut", false);
   };
-  if (Now != Mood::SlowToBegin || Leaving)
+  if (CurrentMode != Mode::DelaysStart || Draining)
     return begin(it);
-  constexpr std::uint64_t MostMs = 3000;
-  Timers.after(milliseconds(DelayRandom() % MostMs),
+  constexpr std::uint64_t MaxDelayMs = 3000;
+  Timers.after(milliseconds(DelayRandom() % MaxDelayMs),
                [this, it, alive = Alive](Instant) {
-                 if (*alive && !it->Over && !it->Number)
+                 if (*alive && !it->Ended && !it->Number)
                    begin(it);
                });
 }
 
 void SoakReplica::begin(const std::shared_ptr<Run> &it) {
   const auto &request = it->Request;
-  it->Number = ++Runs;
-  auto behind = field(request, platform_name::ResumeBehind);
-  if (!behind.empty())
-    it->Next = std::stoi(behind) + 1;
-  it->BreaksOff = Now == Mood::BreaksOff && Random() % 2;
-  noteRun(*it);
+  it->Number = ++RunCount;
+  auto resumeAfter = field(request, platform_name::ResumeBehind);
+  if (!resumeAfter.empty())
+    it->NextEvent = std::stoi(resumeAfter) + 1;
+  it->IsTruncated = CurrentMode == Mode::TruncatesStreams && Random() % 2;
+  recordRun(*it);
   if (Workspaces)
     Workspaces->onRun(
-        field(request, SoakWorkspaces::Truth),
-        Setup.Planted == Plant::MistakesWorkspace
+        field(request, SoakWorkspaces::SenderField),
+        Options.Planted == PlantedViolation::WrongWorkspace
             ? "another"
             : field(request, platform_name::Workspace),
         findField(request.Head.Fields, platform_name::CallerKey) != nullptr,
         TimerService::now());
-  if (Setup.Planted == Plant::RunsTwice) {
-    it->Number = ++Runs;
-    noteRun(*it);
+  if (Options.Planted == PlantedViolation::RunsTwice) {
+    it->Number = ++RunCount;
+    recordRun(*it);
   }
-  if (Setup.Planted == Plant::RunsRefused) {
+  if (Options.Planted == PlantedViolation::RunsRefused) {
     end(*it, "finished", true);
     return refuse(*it->Reply, 503, it->Tag);
   }
-  if (Now == Mood::Hangs)
+  if (CurrentMode == Mode::Hangs)
     return;
   Timers.after(it->Stream ? milliseconds(20) : milliseconds(15),
                [this, it, alive = Alive](Instant) {
-                 if (*alive && !it->Over)
+                 if (*alive && !it->Ended)
                    step(it);
                });
 }
 
-void SoakReplica::noteRun(const Run &run) {
-  auto &event = note("ran");
+void SoakReplica::recordRun(const Run &run) {
+  auto &event = record("ran");
   event.Tag = run.Tag;
   event.Run = run.Number;
   event.AskedAt = run.ArrivedAt;
@@ -377,77 +382,77 @@
                       : run.Adapter + "@" + std::to_string(run.Version);
 }
 
-void SoakReplica::crashUnder(const std::shared_ptr<CallerReply> &reply,
-                             const std::string &tag) {
-  if (Now == Mood::Fails) {
-    // It fails requests before it begins to run them.
+void SoakReplica::crashAfterDelay(const std::shared_ptr<CallerReply> &reply,
+                                  const std::string &tag) {
+  if (CurrentMode == Mode::Fails) {
+    // The request fails before it begins to run.
     Run run;
     run.Tag = tag;
     return reply->respond(head(500, run), "failed");
   }
-  OnCrashing();
-  Timers.after(CrashAfter,
-               [this, reply, its = Incarnation, alive = Alive](Instant) {
-                 if (!*alive || !up() || Incarnation != its)
+  OnCrash();
+  Timers.after(CrashDelay,
+               [this, reply, expected = Incarnation, alive = Alive](Instant) {
+                 if (!*alive || !isRunning() || Incarnation != expected)
                    return;
                  crash();
-                 Timers.after(BackAfter, [this, alive](Instant) {
-                   if (*alive && !up())
+                 Timers.after(RestartDelay, [this, alive](Instant) {
+                   if (*alive && !isRunning())
                      start();
                  });
                });
 }
 
 void SoakReplica::step(const std::shared_ptr<Run> &run) {
-  if (Now == Mood::Fails) {
+  if (CurrentMode == Mode::Fails) {
     end(*run, "finished", false);
     return run->Reply->respond(head(500, *run), "failed");
   }
-  if (Now == Mood::LosesAnswers) {
+  if (CurrentMode == Mode::LosesAnswers) {
     end(*run, "finished", true);
     return run->Reply->abort();
   }
   if (!run->Stream) {
     end(*run, "finished", true);
-    bool swaps = Setup.Planted == Plant::SwapsAnswers;
-    auto text = site::wholeText(swaps ? "another" : run->Tag, false);
+    bool isSwapped = Options.Planted == PlantedViolation::SwapsAnswers;
+    auto text = site::fullText(isSwapped ? "another" : run->Tag, false);
     return run->Reply->respond(head(200, *run), text);
   }
-  if (!std::exchange(run->Begun, true))
+  if (!std::exchange(run->HeadSent, true))
     run->Reply->begin(head(200, *run));
-  auto text = site::eventText(run->Tag, run->Next);
-  if (run->BreaksOff && run->Next > site::Events / 2) {
+  auto text = site::eventText(run->Tag, run->NextEvent);
+  if (run->IsTruncated && run->NextEvent > site::StreamEvents / 2) {
     end(*run, "cut", false);
     run->Reply->part(std::string_view(text).substr(0, text.size() / 2));
     return run->Reply->abort();
   }
   run->Reply->part(text);
-  if (++run->Next > site::Events) {
+  if (++run->NextEvent > site::StreamEvents) {
     end(*run, "finished", true);
     return run->Reply->finish();
   }
-  Timers.after(StepEvery, [this, run, alive = Alive](Instant) {
-    if (*alive && !run->Over)
+  Timers.after(StepInterval, [this, run, alive = Alive](Instant) {
+    if (*alive && !run->Ended)
       step(run);
   });
 }
 
-void SoakReplica::end(Run &run, const char *how, bool whole) {
-  if (std::exchange(run.Over, true))
+void SoakReplica::end(Run &run, const char *how, bool isComplete) {
+  if (std::exchange(run.Ended, true))
     return;
   run.Reply->OnGone = nullptr;
   if (run.Number) {
-    auto &event = note(how);
+    auto &event = record(how);
     event.Tag = run.Tag;
     event.Run = run.Number;
-    event.Whole = whole;
-    event.Hash = site::hashOf(site::wholeText(run.Tag, run.Stream));
+    event.Whole = isComplete;
+    event.Hash = site::hashOf(site::fullText(run.Tag, run.Stream));
   }
   std::erase_if(Running, [&run](const auto &it) { return it.get() == &run; });
   if (run.Adapter.empty())
     return;
   auto name = run.Adapter.substr(run.Adapter.find('/') + 1);
-  if (--Uses[name] == 0 && Going.contains(name))
+  if (--UseCounts[name] == 0 && Evicting.contains(name))
     unload(name);
 }
 
--- a/UnitTests/Platform/Soak/SoakStore.cpp
+++ b/UnitTests/Platform/Soak/SoakStore.cpp
@@ -17,7 +17,7 @@
   return {asio::ip::make_address("127.0.0.1"), 0};
 }
 
-std::uint64_t numberOf(std::string_view target, std::string_view name) {
+std::uint64_t numberParameter(std::string_view target, std::string_view name) {
   auto text = queryValue(queryOf(target), name);
   return text.empty() ? 0 : std::stoull(text);
 }
@@ -27,15 +27,16 @@
 SoakStore::SoakStore(asio::io_context &context, std::uint64_t seed)
     : Context(context), Timers(context), Random(seed),
       Server(context, anyPort(), MaxConnections, hooks()) {
-  constexpr auto CopyEvery = std::chrono::milliseconds(250);
-  Copying = Timers.every(CopyEvery, [this](Instant) { keepCopy(); });
+  constexpr auto SnapshotInterval = std::chrono::milliseconds(250);
+  SnapshotTimer =
+      Timers.every(SnapshotInterval, [this](Instant) { takeSnapshot(); });
 }
 
-void SoakStore::keepCopy() {
-  constexpr std::size_t MostCopies = 40;
-  Copies.push_back({TimerService::now(), Tables, Version, Oldest});
-  if (Copies.size() > MostCopies)
-    Copies.pop_front();
+void SoakStore::takeSnapshot() {
+  constexpr std::size_t MaxSnapshots = 40;
+  Snapshots.push_back({TimerService::now(), Tables, Version, OldestVersion});
+  if (Snapshots.size() > MaxSnapshots)
+    Snapshots.pop_front();
 }
 
 HttpAnswerHead SoakStore::head(std::uint16_t status) const {
@@ -43,25 +44,26 @@
           {{std::string(platform_name::StoreEra), std::to_string(Era)}}};
 }
 
-void SoakStore::stepBack(Span age) {
-  if (Copies.empty())
+void SoakStore::revertBy(Span age) {
+  if (Snapshots.empty())
     return;
   auto until = TimerService::now() - age;
-  while (Copies.size() > 1 && Copies.back().At > until)
-    Copies.pop_back();
+  while (Snapshots.size() > 1 && Snapshots.back().At > until)
+    Snapshots.pop_back();
   auto declared = Tables[std::string(platform_name::OperatorTable)];
-  auto copy = Copies.back();
-  Tables = std::move(copy.Tables);
-  Version = copy.Version;
-  Oldest = copy.Oldest;
+  auto snapshot = Snapshots.back();
+  Tables = std::move(snapshot.Tables);
+  Version = snapshot.Version;
+  OldestVersion = snapshot.OldestVersion;
   ++Era;
-  constexpr auto WrittenAgain = std::chrono::milliseconds(300);
-  auto old = Tables[std::string(platform_name::OperatorTable)];
-  Timers.after(WrittenAgain, [this, declared, old](Instant) mutable {
-    auto &now = Tables[std::string(platform_name::OperatorTable)];
-    // What has been declared since the return is newer.
+  constexpr auto RewriteDelay = std::chrono::milliseconds(300);
+  auto reverted = Tables[std::string(platform_name::OperatorTable)];
+  Timers.after(RewriteDelay, [this, declared, reverted](Instant) mutable {
+    auto &current = Tables[std::string(platform_name::OperatorTable)];
+    // Rows that operators have written since the revert are newer and stay.
     for (const auto &[key, row] : declared)
-      if (now[key].Version == old[key].Version && now[key].Value != row.Value)
+      if (current[key].Version == reverted[key].Version &&
+          current[key].Value != row.Value)
         put(platform_name::OperatorTable, key, row.Value);
   });
 }
@@ -75,11 +77,11 @@
   return out;
 }
 
-void SoakStore::setMood(Mood mood) {
-  Now = mood;
-  if (mood != Mood::Silent)
+void SoakStore::setMode(Mode mode) {
+  CurrentMode = mode;
+  if (mode != Mode::Silent)
     return;
-  for (auto &it : std::exchange(Waiters, {})) {
+  for (auto &it : std::exchange(WaitingPolls, {})) {
     it.Reply->OnGone = nullptr;
     Unanswered.push_back(std::move(it.Reply));
   }
@@ -97,21 +99,21 @@
 
 void SoakStore::serve(const CallerRequest &request,
                       const std::shared_ptr<CallerReply> &reply) {
-  switch (Now) {
-  case Mood::Silent:
+  switch (CurrentMode) {
+  case Mode::Silent:
     Unanswered.push_back(reply);
     return;
-  case Mood::Busy:
+  case Mode::Busy:
     return reply->respond(head(503), "{}");
-  case Mood::LosesAnswers:
+  case Mode::LosesAnswers:
     if (request.Head.path() == platform_name::RowsChange && Random() % 2)
       return change(request, *reply, true);
     return answer(request, reply);
-  case Mood::Slow:
-    Timers.after(Delay,
+  case Mode::Slow:
+    Timers.after(SlowDelay,
                  [this, request, reply](Instant) { answer(request, reply); });
     return;
-  case Mood::Well:
+  case Mode::Healthy:
     return answer(request, reply);
   }
 }
@@ -122,7 +124,7 @@
   if (path == platform_name::RowsRead)
     read(request, *reply);
   else if (path == platform_name::RowsWatch)
-    feed(request, reply);
+    poll(request, reply);
   else if (path == platform_name::RowsChange)
     change(request, *reply, false);
   else
@@ -154,7 +156,8 @@
 }
 
 std::string SoakStore::changesSince(const std::string &table,
-                                    std::uint64_t after, bool &any) const {
+                                    std::uint64_t after,
+                                    bool &hasChanges) const {
   std::map<std::uint64_t, Json> changed;
   auto all = Tables.find(table);
   if (all != Tables.end())
@@ -168,66 +171,68 @@
         it["value"] = toBase64(row.Value);
       changed.emplace(row.Version, std::move(it));
     }
-  any = !changed.empty();
+  hasChanges = !changed.empty();
   Json rows = Json::array();
   for (auto &[version, it] : changed)
     rows.push_back(std::move(it));
   return Json{{"rows", rows}, {"ver", Version}, {"now_ms", 0}}.dump();
 }
 
-void SoakStore::feed(const CallerRequest &request,
+void SoakStore::poll(const CallerRequest &request,
                      const std::shared_ptr<CallerReply> &reply) {
   const auto &target = request.Head.Target;
   auto table = queryValue(queryOf(target), "table");
-  auto after = numberOf(target, "after");
-  if (after < Oldest || after > Version)
+  auto after = numberParameter(target, "after");
+  if (after < OldestVersion || after > Version)
     return reply->respond(head(410), "{}");
-  bool any = false;
-  auto body = changesSince(table, after, any);
-  auto wait = std::chrono::milliseconds(numberOf(target, "wait_ms"));
-  if (any || wait.count() == 0)
+  bool hasChanges = false;
+  auto body = changesSince(table, after, hasChanges);
+  auto wait = std::chrono::milliseconds(numberParameter(target, "wait_ms"));
+  if (hasChanges || wait.count() == 0)
     return reply->respond(head(200), body);
-  auto it = Waiters.insert(Waiters.end(), {table, after, reply});
+  auto it = WaitingPolls.insert(WaitingPolls.end(), {table, after, reply});
   Timers.after(wait, [this, weak = std::weak_ptr(reply)](Instant) {
     auto reply = weak.lock();
-    for (auto at = Waiters.begin(); reply && at != Waiters.end(); ++at)
+    for (auto at = WaitingPolls.begin(); reply && at != WaitingPolls.end();
+         ++at)
       if (at->Reply == reply) {
-        bool any = false;
-        reply->respond(head(200), changesSince(at->Table, at->After, any));
-        Waiters.erase(at);
+        bool hasChanges = false;
+        reply->respond(head(200),
+                       changesSince(at->Table, at->After, hasChanges));
+        WaitingPolls.erase(at);
         return;
       }
   });
-  reply->OnGone = [this, it] { Waiters.erase(it); };
+  reply->OnGone = [this, it] { WaitingPolls.erase(it); };
 }
 
-void SoakStore::wake() {
-  if (Now != Mood::Well && Now != Mood::LosesAnswers)
+void SoakStore::answerPolls() {
+  if (CurrentMode != Mode::Healthy && CurrentMode != Mode::LosesAnswers)
     return;
-  for (auto it = Waiters.begin(); it != Waiters.end();) {
-    bool any = false;
-    auto body = changesSince(it->Table, it->After, any);
-    if (!any) {
+  for (auto it = WaitingPolls.begin(); it != WaitingPolls.end();) {
+    bool hasChanges = false;
+    auto body = changesSince(it->Table, it->After, hasChanges);
+    if (!hasChanges) {
       ++it;
       continue;
     }
     auto reply = it->Reply;
     reply->OnGone = nullptr;
-    it = Waiters.erase(it);
+    it = WaitingPolls.erase(it);
     reply->respond(head(200), body);
   }
 }
 
 void SoakStore::change(const CallerRequest &request, CallerReply &reply,
-                       bool loses) {
+                       bool losesAnswer) {
   auto node = Json::parse(request.Body);
-  bool holds = true;
+  bool isCurrent = true;
   for (const auto &it : node.at("if_revision")) {
     auto &row = Tables[it.at("table")][it.at("key")];
     auto expected = it.at("ver").get<std::uint64_t>();
-    holds = holds && (row.Removed ? 0 : row.Version) == expected;
+    isCurrent = isCurrent && (row.Removed ? 0 : row.Version) == expected;
   }
-  if (holds) {
+  if (isCurrent) {
     ++Version;
     for (const auto &it : node.at("put"))
       Tables[it.at("table")][it.at("key")] = {
@@ -236,29 +241,29 @@
     for (const auto &it : node.at("remove"))
       Tables[it.at("table")][it.at("key")] = {"", Version, true};
   }
-  if (loses)
+  if (losesAnswer)
     reply.abort();
   else
-    reply.respond(head(holds ? 200 : 412),
+    reply.respond(head(isCurrent ? 200 : 412),
                   Json{{"ver", Version}, {"rows", Json::array()}}.dump());
-  wake();
+  answerPolls();
 }
 
 void SoakStore::put(std::string_view table, std::string_view key,
                     std::string value) {
   Tables[std::string(table)][std::string(key)] = {std::move(value), ++Version,
                                                   false};
-  wake();
+  answerPolls();
 }
 
 void SoakStore::remove(std::string_view table, std::string_view key) {
   Tables[std::string(table)][std::string(key)] = {"", ++Version, true};
-  wake();
+  answerPolls();
 }
 
-void SoakStore::dropHistory() {
-  Oldest = Version;
-  for (auto &it : std::exchange(Waiters, {})) {
+void SoakStore::truncateChangeLog() {
+  OldestVersion = Version;
+  for (auto &it : std::exchange(WaitingPolls, {})) {
     it.Reply->OnGone = nullptr;
     it.Reply->respond(head(410), "{}");
   }
--- a/UnitTests/Platform/Soak/SoakVersions.cpp
+++ b/UnitTests/Platform/Soak/SoakVersions.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-struct Spell {
+struct Interval {
   Instant From{};
   Instant To = Instant::max();
 };
 
-/// Times at which something was disturbed; the causes may overlap.
-class Spells {
+/// Intervals in which something was disturbed; the causes may overlap.
+class Disturbances {
 public:
   void begin(Instant at) {
     if (Open++ == 0)
@@ -24,17 +24,18 @@
     if (Open > 0 && --Open == 0)
       All.back().To = at;
   }
-  void moment(Instant at) {
+  void addInstant(Instant at) {
     begin(at);
     end(at);
   }
-  bool any(Instant from, Instant to) const {
-    return std::any_of(All.begin(), All.end(), [&](const Spell &it) {
+  bool overlaps(Instant from, Instant to) const {
+    return std::any_of(All.begin(), All.end(), [&](const Interval &it) {
       return it.From <= to && from <= it.To;
     });
   }
-  /// The end of the last one up to `at`; nothing if one holds then.
-  std::optional<Instant> calmSince(Instant at) const {
+  /// Returns the end of the last interval that began by `at`; nullopt if it
+  /// still lasts then.
+  std::optional<Instant> undisturbedSince(Instant at) const {
     Instant out{};
     for (const auto &it : All)
       if (it.From <= at)
@@ -43,101 +44,107 @@
   }
 
 private:
-  std::vector<Spell> All;
+  std::vector<Interval> All;
   int Open = 0;
 };
 
-/// The first part without the version, and the version; 0 if there is none.
-std::pair<std::string, std::uint64_t> split(const std::string &adapter) {
+/// Returns the adapter without its version, and the version; 0 if there is
+/// none.
+std::pair<std::string, std::uint64_t> splitVersion(const std::string &adapter) {
   auto at = adapter.find('@');
   if (at == std::string::npos)
     return {adapter, 0};
   return {adapter.substr(0, at), std::stoull(adapter.substr(at + 1))};
 }
 
-/// What disturbs whom, and who was asked.
-class Circumstances {
+/// Disturbances of nodes, store and links, and the gateway of each request.
+class DisturbanceLog {
 public:
   void add(const HistoryEvent &it) {
     const auto &kind = it.Event;
     if (kind == "sent")
-      Senders.try_emplace(it.Tag, it.To);
+      Gateways.try_emplace(it.Tag, it.To);
     else if (kind == "killed" || kind == "node_started" || kind == "terminated")
-      Nodes[it.To].moment(it.At);
+      Nodes[it.To].addInstant(it.At);
     else if (kind == "paused")
       Nodes[it.To].begin(it.At);
     else if (kind == "woken")
       Nodes[it.To].end(it.At);
     else if (kind == "silent" || kind == "harmed")
-      Shared.begin(it.At);
+      StoreAndLinks.begin(it.At);
     else if (kind == "answering" || kind == "mended")
-      Shared.end(it.At);
-    // Each gateway has a way to each replica.
+      StoreAndLinks.end(it.At);
+    // The link of a replica is shared by all gateways.
     if (kind == "harmed" && it.To.empty())
       ReplicaLinks.begin(it.At);
     else if (kind == "mended" && it.To.empty())
       ReplicaLinks.end(it.At);
   }
 
-  /// Whether the gateway that sent this was well for so long before.
-  bool inTouch(const HistoryEvent &run, Span contact) const {
+  /// Whether the gateway that sent the request, and the links to replicas, were
+  /// undisturbed for `contact` before.
+  bool wasConnected(const HistoryEvent &run, Span contact) const {
     auto from = run.AskedAt - contact;
-    auto sender = Senders.find(run.Tag);
-    if (sender == Senders.end() || ReplicaLinks.any(from, run.AskedAt))
+    auto gateway = Gateways.find(run.Tag);
+    if (gateway == Gateways.end() || ReplicaLinks.overlaps(from, run.AskedAt))
       return false;
-    auto node = Nodes.find(sender->second);
-    return node == Nodes.end() || !node->second.any(from, run.AskedAt);
+    auto node = Nodes.find(gateway->second);
+    return node == Nodes.end() || !node->second.overlaps(from, run.AskedAt);
   }
 
-  /// Since when store and links have been well; nothing if they are not.
-  std::optional<Instant> calmSince(Instant at) const {
-    return Shared.calmSince(at);
+  /// Returns since when the store and all links have been undisturbed; nullopt
+  /// if they are disturbed.
+  std::optional<Instant> undisturbedSince(Instant at) const {
+    return StoreAndLinks.undisturbedSince(at);
   }
 
-  const std::string &sender(const std::string &tag) const {
-    return Senders.at(tag);
+  const std::string &gatewayOf(const std::string &tag) const {
+    return Gateways.at(tag);
   }
 
 private:
-  std::map<std::string, std::string> Senders;
-  std::map<std::string, Spells> Nodes;
-  Spells ReplicaLinks;
-  Spells Shared;
+  std::map<std::string, std::string> Gateways;
+  std::map<std::string, Disturbances> Nodes;
+  Disturbances ReplicaLinks;
+  Disturbances StoreAndLinks;
 };
 
 } // namespace
 
-VersionFindings judgeVersions(const std::vector<HistoryEvent> &events,
+VersionFindings checkVersions(const std::vector<HistoryEvent> &events,
                               Span bound, Span contact) {
-  Circumstances around;
+  DisturbanceLog disturbances;
   for (const auto &it : events)
-    around.add(it);
+    disturbances.add(it);
   VersionFindings out;
-  std::map<std::string, std::map<std::uint64_t, Instant>> named;
+  std::map<std::string, std::map<std::uint64_t, Instant>> declared;
   for (const auto &it : events) {
     if (it.Event != "named" && (it.Event != "ran" || it.Adapter.empty()))
       continue;
-    auto [adapter, version] = split(it.Adapter);
-    auto &versions = named[adapter];
+    auto [adapter, version] = splitVersion(it.Adapter);
+    auto &versions = declared[adapter];
     if (it.Event == "named") {
       versions.try_emplace(version, it.At);
       continue;
     }
-    std::optional<Instant> acked;
+    std::optional<Instant> acknowledgedAt;
     for (auto newer = versions.upper_bound(version); newer != versions.end();
          ++newer)
-      acked = std::min(acked.value_or(newer->second), newer->second);
-    if (!acked)
+      acknowledgedAt =
+          std::min(acknowledgedAt.value_or(newer->second), newer->second);
+    if (!acknowledgedAt)
       continue;
     ++out.Replaced;
-    auto calm = around.calmSince(it.At);
-    if (!calm || it.At - std::max(*acked, *calm) <= bound ||
-        !around.inTouch(it, contact))
+    auto undisturbed = disturbances.undisturbedSince(it.At);
+    if (!undisturbed ||
+        it.At - std::max(*acknowledgedAt, *undisturbed) <= bound ||
+        !disturbances.wasConnected(it, contact))
       continue;
     auto ms = [](Span span) { return std::to_string(span.count() / 1000); };
     out.Late.push_back(it.Tag + " on " + it.Adapter + " at " + it.Who +
-                       " from " + around.sender(it.Tag) + ": begun at " +
-                       ms(it.At) + ", " + ms(it.At - *acked) +
+                       " from " + disturbances.gatewayOf(it.Tag) +
+                       ": begun at " + ms(it.At) + ", " +
+                       ms(it.At - *acknowledgedAt) +
                        " ms after its successor's acknowledgement, " +
                        ms(it.At - it.AskedAt) + " ms after it was sent");
   }
--- a/UnitTests/Platform/Soak/SoakVersions.h
+++ b/UnitTests/Platform/Soak/SoakVersions.h
@@ -6,21 +6,25 @@
 
 namespace hemlockglade::soak {
 
-/// What the beginnings of runs showed of versions that operators had named.
+/// The versions of weights that runs began on, compared with those that
+/// operators had declared.
 struct VersionFindings {
-  /// Runs that began on a version of which a newer one was acknowledged.
+  /// Number of runs that began on a version whose newer one had been
+  /// acknowledged.
   std::size_t Replaced = 0;
-  /// One line for each of them that began too late.
+  /// One line of text for each of them that began too late.
   std::vector<std::string> Late;
 };
 
-/// Looks at which version each run began on. `named` says which version was
-/// acknowledged, `ran` which one began and when it was sent there, `sent` by
-/// which gateway. A version's time counts from the acknowledgement of its first
-/// newer one in one stretch with a well store and sound links: it starts anew
-/// as a disturbance ends. Runs count that were sent by a gateway that had been
-/// well for `contact`. The events are in the order of their times.
-VersionFindings judgeVersions(const std::vector<HistoryEvent> &events,
+/// Checks which version each run began on. The event `named` holds the version
+/// that was acknowledged, `ran` the version a run began on and when it was sent
+/// there, and `sent` the gateway. A run is late if it begins more than `bound`
+/// after the acknowledgement of the first newer version. The store and all
+/// links must be undisturbed throughout that time: it starts again when a
+/// disturbance ends. Only runs can be late whose gateway, and its links to
+/// replicas, had been undisturbed for `contact` before the request was sent.
+/// The events are in the order of their times.
+VersionFindings checkVersions(const std::vector<HistoryEvent> &events,
                               Span bound, Span contact);
 
 } // namespace hemlockglade::soak
--- a/UnitTests/Platform/Soak/SoakVersionsTest.cpp
+++ b/UnitTests/Platform/Soak/SoakVersionsTest.cpp
@@ -24,53 +24,55 @@
   return out;
 }
 
-HistoryEvent named(int ms, std::string adapter) {
+HistoryEvent declared(int ms, std::string adapter) {
   auto out = at(ms, "named");
   out.Adapter = std::move(adapter);
   return out;
 }
 
-/// Version 2 is acknowledged at 10 s, and a request begins on version 1.
-std::vector<HistoryEvent> run(int begins, std::vector<HistoryEvent> between,
-                              int held = 5) {
-  auto sent = atNode(begins - held, "sent");
+/// Returns a history in which version 2 is acknowledged at 10 s and a request
+/// that was sent `delay` earlier begins on version 1. Times in ms.
+std::vector<HistoryEvent> run(int begunAt, std::vector<HistoryEvent> between,
+                              int delay = 5) {
+  auto sent = atNode(begunAt - delay, "sent");
   sent.Tag = "t1";
-  auto ran = at(begins, "ran");
+  auto ran = at(begunAt, "ran");
   ran.Tag = "t1";
   ran.Adapter = "m/a1@1";
-  ran.AskedAt = Instant(milliseconds(begins - held));
+  ran.AskedAt = Instant(milliseconds(begunAt - delay));
   between.insert(between.end(), {atNode(0, "node_started"),
-                                 named(10'000, "m/a1@2"), sent, ran});
+                                 declared(10'000, "m/a1@2"), sent, ran});
   std::stable_sort(between.begin(), between.end(),
                    [](const auto &a, const auto &b) { return a.At < b.At; });
   return between;
 }
 
 std::size_t late(const std::vector<HistoryEvent> &events) {
-  return judgeVersions(events, Bound, Contact).Late.size();
+  return checkVersions(events, Bound, Contact).Late.size();
 }
 
 } // namespace
 
-TEST_CASE("a request that begins on a version replaced beyond the bound is "
-          "found") {
+TEST_CASE("a request that begins on a version replaced for longer than the "
+          "bound is late") {
   CHECK(late(run(12'000, {})) == 0);
   CHECK(late(run(12'001, {})) == 1);
-  CHECK(judgeVersions(run(12'000, {}), Bound, Contact).Replaced == 1);
-  CHECK(judgeVersions(run(9'900, {}), Bound, Contact).Replaced == 0);
+  CHECK(checkVersions(run(12'000, {}), Bound, Contact).Replaced == 1);
+  CHECK(checkVersions(run(9'900, {}), Bound, Contact).Replaced == 0);
 }
 
-TEST_CASE("a later name gives a replaced version no more time") {
-  CHECK(late(run(12'001, {named(11'500, "m/a1@3")})) == 1);
-  CHECK(late(run(12'001, {named(11'500, "m/a2@2")})) == 1);
+TEST_CASE("a further version declared later does not extend the bound") {
+  CHECK(late(run(12'001, {declared(11'500, "m/a1@3")})) == 1);
+  CHECK(late(run(12'001, {declared(11'500, "m/a2@2")})) == 1);
 }
 
-TEST_CASE("a request that an engine held back is judged as it begins") {
+TEST_CASE("a request that an engine delayed is checked when it begins") {
   CHECK(late(run(12'500, {}, 2400)) == 1);
   CHECK(late(run(12'500, {atNode(10'500, "killed")}, 2400)) == 1);
 }
 
-TEST_CASE("a gateway is bound again once it was well for the contact time") {
+TEST_CASE("a gateway is checked again after it was undisturbed for the contact "
+          "time") {
   for (const auto *event : {"killed", "node_started", "terminated"}) {
     CHECK(late(run(13'000, {atNode(9'996, event)})) == 0);
     CHECK(late(run(13'000, {atNode(9'994, event)})) == 1);
@@ -84,7 +86,8 @@
   CHECK(late(run(13'000, {other})) == 1);
 }
 
-TEST_CASE("the count starts anew as a disturbance of the store or links ends") {
+TEST_CASE(
+    "the bound starts again when a disturbance of the store or links ends") {
   auto silent = at(10'500, "silent");
   auto harmed = atNode(10'500, "harmed");
   CHECK(late(run(20'000, {silent})) == 0);
@@ -99,7 +102,7 @@
                           atNode(11'600, "mended")})) == 1);
 }
 
-TEST_CASE("a harmed way to a replica excuses what is sent soon after it") {
+TEST_CASE("a disturbed link to a replica excuses requests sent soon after it") {
   auto harmed = at(10'100, "harmed");
   CHECK(late(run(13'200, {harmed, at(10'200, "mended")})) == 0);
   CHECK(late(run(13'300, {harmed, at(10'200, "mended")})) == 1);
--- a/UnitTests/Platform/Soak/SoakWorkspaces.cpp
+++ b/UnitTests/Platform/Soak/SoakWorkspaces.cpp
@@ -11,7 +11,8 @@
 
 using Json = nlohmann::json;
 
-/// Requests a second, and burst, of the workspace that sends beyond them.
+/// Limits of the workspace that sends beyond them: requests per second and
+/// burst.
 constexpr double HotRate = 8;
 constexpr double HotBurst = 8;
 
@@ -26,7 +27,7 @@
   return All;
 }
 
-Json SoakWorkspaces::declared(std::uint64_t plan) {
+Json SoakWorkspaces::declaredIn(std::uint64_t plan) {
   Json out = Json::array();
   for (const auto &name : names()) {
     Json keys{key(name, plan), key(name, plan + 1)};
@@ -40,8 +41,8 @@
   return out;
 }
 
-const std::string &SoakWorkspaces::draw() {
-  // Two thirds of all requests come from the hot one.
+const std::string &SoakWorkspaces::drawWorkspace() {
+  // Two thirds of all requests come from "hot".
   auto at = Random() % 6;
   return names()[at < 4 ? 0 : at - 3];
 }
@@ -51,45 +52,47 @@
   return key(workspace, plan + 1);
 }
 
-std::string SoakWorkspaces::revokedBy(std::uint64_t plan) {
+std::string SoakWorkspaces::keyRevokedBy(std::uint64_t plan) {
   return key("calm", plan - 1);
 }
 
-std::string SoakWorkspaces::truthOf(const std::string &workspace,
-                                    Instant sentAt) {
+std::string SoakWorkspaces::senderOf(const std::string &workspace,
+                                     Instant sentAt) {
   return workspace + "@" + std::to_string(sentAt.count());
 }
 
-void SoakWorkspaces::onRun(const std::string &truth, const std::string &told,
-                           bool showsKey, Instant now) {
-  auto at = truth.find('@');
+void SoakWorkspaces::onRun(const std::string &sender,
+                           const std::string &received, bool hasKey,
+                           Instant now) {
+  auto at = sender.find('@');
   if (at == std::string::npos)
     return;
-  auto workspace = truth.substr(0, at);
-  Runs.push_back({workspace, Instant(std::stoll(truth.substr(at + 1))), now});
-  if (showsKey)
-    Faults.push_back("the key of a caller of " + workspace + " was passed on");
-  if (told != workspace)
-    Faults.push_back("run for workspace '" + told + "' in place of " +
-                     workspace);
+  auto workspace = sender.substr(0, at);
+  Runs.push_back({workspace, Instant(std::stoll(sender.substr(at + 1))), now});
+  if (hasKey)
+    Violations.push_back("the key of a caller of " + workspace +
+                         " was passed on");
+  if (received != workspace)
+    Violations.push_back("run for workspace '" + received + "' in place of " +
+                         workspace);
 }
 
-std::pair<std::size_t, double> SoakWorkspaces::mostInWindow() const {
+std::pair<std::size_t, double> SoakWorkspaces::maxRunsInWindow() const {
   const QuotaSettings quota;
-  std::size_t most = 0;
+  std::size_t maxRuns = 0;
   for (const auto &first : Runs) {
-    auto inside = std::count_if(Runs.begin(), Runs.end(), [&](const auto &it) {
+    auto count = std::count_if(Runs.begin(), Runs.end(), [&](const auto &it) {
       return it.Workspace == "hot" && it.SentAt >= first.SentAt &&
              it.RanAt <= first.SentAt + quota.Window;
     });
-    most = std::max(most, static_cast<std::size_t>(inside));
+    maxRuns = std::max(maxRuns, static_cast<std::size_t>(count));
   }
   auto allowance =
       allowanceOf({LimitUnit::Requests, HotRate, HotBurst, 0}, quota);
-  return {most, allowance * (1 + quota.Overshoot)};
+  return {maxRuns, allowance * (1 + quota.Overshoot)};
 }
 
-std::size_t SoakWorkspaces::runsOf(const std::string &workspace) const {
+std::size_t SoakWorkspaces::runCountOf(const std::string &workspace) const {
   return static_cast<std::size_t>(
       std::count_if(Runs.begin(), Runs.end(),
                     [&](const auto &it) { return it.Workspace == workspace; }));
--- a/UnitTests/Platform/Soak/SoakWorld.cpp
+++ b/UnitTests/Platform/Soak/SoakWorld.cpp
@@ -17,11 +17,11 @@
 
 const std::vector<std::string> Domains{"hall-a", "hall-b", "hall-c"};
 constexpr int PlainReplicas = 3;
-/// Last part of the first gateway's address, and the first of its ports.
+/// Last octet of the first gateway's address, and the first of its ports.
 constexpr int FirstHost = 11;
 constexpr std::uint16_t FirstPort = 7100;
 constexpr auto QuietTime = seconds(4);
-constexpr auto LongestHarm = milliseconds(5000);
+constexpr auto MaxFaultTime = milliseconds(5000);
 
 Json route(const std::string &prefix, const std::string &type,
            std::string_view service, int attempts, bool resumable) {
@@ -37,43 +37,44 @@
 } // namespace
 
 SoakWorld::SoakWorld(Settings settings)
-    : Setup(std::move(settings)), Random(Setup.Seed), EntriesRandom(Setup.Seed),
-      DrillRandom(Setup.Seed), NamesRandom(Setup.Seed), Timers(Context),
-      Store(Context, Random()), Callers(Context, Nodes, History, Random()) {
-  Ends.async_wait([this](asio::error_code ec, int) {
+    : Options(std::move(settings)), Random(Options.Seed),
+      EntriesRandom(Options.Seed), RevertRandom(Options.Seed),
+      VersionRandom(Options.Seed), Timers(Context), Store(Context, Random()),
+      Callers(Context, Nodes, History, Random()) {
+  TerminationSignals.async_wait([this](asio::error_code ec, int) {
     if (ec)
       return;
     Nodes.clear();
     std::exit(2);
   });
-  Callers.setRate(Setup.Rate);
-  Callers.setCrashingEvery(Setup.CrashingEvery);
+  Callers.setRate(Options.Rate);
+  Callers.setCrashingInterval(Options.CrashingInterval);
   buildReplicas();
-  declare();
+  declarePlan();
   buildNodes();
 }
 
 SoakWorld::~SoakWorld() = default;
 
 void SoakWorld::buildReplicas() {
-  for (int it = 0; it < Setup.Engines + PlainReplicas; ++it) {
+  for (int it = 0; it < Options.Engines + PlainReplicas; ++it) {
     SoakReplica::Settings replica;
-    replica.Engine = it < Setup.Engines;
-    replica.Planted = Setup.Planted;
+    replica.Engine = it < Options.Engines;
+    replica.Planted = Options.Planted;
     replica.Service = replica.Engine ? site::EngineService : site::PlainService;
     replica.FailureDomain =
         Domains[static_cast<std::size_t>(it) % Domains.size()];
     Replicas.push_back(std::make_unique<SoakReplica>(
         Context, std::move(replica), Store, History, Random()));
-    Replicas.back()->OnCrashing = [this] {
-      say("a request crashes a replica");
+    Replicas.back()->OnCrash = [this] {
+      log("a request crashes a replica");
       Crashes.push_back(TimerService::now());
     };
   }
 }
 
-bool SoakWorld::isFree(const std::string &network) {
-  // A soak that was killed leaves its gateways behind.
+bool SoakWorld::isNetworkFree(const std::string &network) {
+  // Gateways of a soak that was killed may still run there.
   asio::ip::tcp::socket socket(Context);
   asio::error_code ec;
   socket.connect(
@@ -82,20 +83,20 @@
   return bool(ec);
 }
 
-std::string SoakWorld::takeNetwork() {
-  // A loopback network of its own, so that soaks can run side by side: the one
-  // whose first address nobody holds.
+std::string SoakWorld::acquireNetwork() {
+  // Each soak uses its own loopback network, so that several can run in
+  // parallel. A listener at the first address marks a network as used.
   constexpr int Networks = 200;
-  constexpr std::uint16_t HeldPort = 7099;
+  constexpr std::uint16_t LockPort = 7099;
   for (int it = 0; it < Networks; ++it) {
     auto network = "127." + std::to_string(2 + (::getpid() + it) % Networks);
     network += ".0.";
     asio::error_code ec;
     Network.open(asio::ip::tcp::v4(), ec);
-    Network.bind({asio::ip::make_address(network + "1"), HeldPort}, ec);
+    Network.bind({asio::ip::make_address(network + "1"), LockPort}, ec);
     if (!ec)
       Network.listen(1, ec);
-    if (!ec && isFree(network))
+    if (!ec && isNetworkFree(network))
       return network;
     Network.close();
   }
@@ -103,21 +104,21 @@
 }
 
 void SoakWorld::buildNodes() {
-  auto network = takeNetwork();
+  auto network = acquireNetwork();
   std::vector<std::string> seeds;
-  for (int it = 0; it < std::min(3, Setup.Nodes); ++it)
+  for (int it = 0; it < std::min(3, Options.Nodes); ++it)
     seeds.push_back(network + std::to_string(FirstHost + it) + ":" +
                     std::to_string(FirstPort + 4));
-  for (int it = 0; it < Setup.Nodes; ++it) {
+  for (int it = 0; it < Options.Nodes; ++it) {
     SoakNode::Settings node;
-    node.Program = Setup.Program;
-    node.Folder = Setup.Folder;
+    node.Program = Options.Program;
+    node.Folder = Options.Folder;
     node.Name = "n" + std::to_string(it);
     node.FailureDomain = Domains[static_cast<std::size_t>(it) % Domains.size()];
     node.Address = network + std::to_string(FirstHost + it);
     node.FirstPort = FirstPort;
     node.Seeds = seeds;
-    node.VersionBound = Setup.VersionBound;
+    node.VersionBound = Options.VersionBound;
     Nodes.push_back(std::make_unique<SoakNode>(Context, std::move(node),
                                                Store.port(), History));
     Nodes.back()->start();
@@ -129,245 +130,247 @@
   Context.run_for(span);
 }
 
-void SoakWorld::play(Span faulty) {
-  if (Setup.Workspaces) {
+void SoakWorld::runScenario(Span faultTime) {
+  if (Options.Workspaces) {
     Callers.setWorkspaces(&Workspaces);
     for (auto &it : Replicas)
       it->setWorkspaces(&Workspaces);
   }
-  constexpr auto LookEvery = milliseconds(20);
-  Looking = Timers.every(LookEvery, [this](Instant) {
+  constexpr auto ProcessCheckInterval = milliseconds(20);
+  ProcessTimer = Timers.every(ProcessCheckInterval, [this](Instant) {
     for (auto &it : Nodes)
-      it->look();
+      it->checkProcess();
   });
-  // Leases come about, and the first adapters are loaded.
-  constexpr auto Start = seconds(2);
-  runFor(Start);
+  // Time for leases to be acquired and the first adapters to be loaded.
+  constexpr auto StartupTime = seconds(2);
+  runFor(StartupTime);
   Callers.start();
-  runFor(Start);
-  Faulty = true;
-  nextFault();
-  if (Setup.EntriesEvery > Span(0))
-    nextEntriesFault();
-  if (Setup.DrillEvery > Span(0))
-    nextDrill();
-  if (Setup.NamesEvery > Span(0)) {
-    Naming = true;
-    nextName();
+  runFor(StartupTime);
+  InjectsFaults = true;
+  scheduleFault();
+  if (Options.EntriesInterval > Span(0))
+    scheduleEntriesFault();
+  if (Options.RevertInterval > Span(0))
+    scheduleRevert();
+  if (Options.VersionInterval > Span(0)) {
+    DeclaresVersions = true;
+    scheduleVersion();
   }
-  runFor(faulty);
-  Faulty = false;
-  heal();
-  outage();
-  runFor(Setup.Recovery);
-  Naming = false;
+  runFor(faultTime);
+  InjectsFaults = false;
+  restoreAll();
+  causeOutage();
+  runFor(Options.Recovery);
+  DeclaresVersions = false;
   auto before = Callers.counts();
   runFor(QuietTime);
   auto after = Callers.counts();
-  QuietRevoked = {after.RevokedTried - before.RevokedTried,
+  QuietRevoked = {after.RevokedSent - before.RevokedSent,
                   after.RevokedServed - before.RevokedServed};
-  Quiet = {after.Sent - before.Sent - (after.Left - before.Left) -
-               (after.Limited - before.Limited),
-           after.Complete - before.Complete};
+  QuietCounts = {after.Sent - before.Sent - (after.Aborted - before.Aborted) -
+                     (after.Limited - before.Limited),
+                 after.Complete - before.Complete};
   Callers.stop();
-  constexpr auto Last = seconds(5);
-  constexpr auto Look = milliseconds(100);
-  auto until = TimerService::now() + Last;
-  while (!Callers.idle() && TimerService::now() < until)
-    runFor(Look);
+  constexpr auto MaxIdleWait = seconds(5);
+  constexpr auto IdleCheckInterval = milliseconds(100);
+  auto until = TimerService::now() + MaxIdleWait;
+  while (!Callers.isIdle() && TimerService::now() < until)
+    runFor(IdleCheckInterval);
 }
 
-void SoakWorld::outage() {
-  // One outage that nothing else excuses: the nodes that have run through it
-  // must have what is confirmed at its end as soon as at any other time.
-  constexpr auto Calm = seconds(3);
-  runFor(Calm);
-  say("the store is silent");
-  storeMood(SoakStore::Mood::Silent);
-  runFor(milliseconds(100) + upTo(LongestHarm));
-  storeMood(SoakStore::Mood::Well);
-  declare();
+void SoakWorld::causeOutage() {
+  // An outage without other faults. Nodes that ran throughout must have a plan
+  // that is confirmed at its end in force within the usual bound.
+  constexpr auto UndisturbedTime = seconds(3);
+  runFor(UndisturbedTime);
+  log("the store is silent");
+  setStoreMode(SoakStore::Mode::Silent);
+  runFor(milliseconds(100) + randomUpTo(MaxFaultTime));
+  setStoreMode(SoakStore::Mode::Healthy);
+  declarePlan();
 }
 
-int SoakWorld::selfEnds() const {
+int SoakWorld::unexpectedEnds() const {
   int n = 0;
   for (const auto &it : Nodes)
-    n += it->selfEnds();
+    n += it->unexpectedEnds();
   return n;
 }
 
-void SoakWorld::say(const std::string &what) {
+void SoakWorld::log(const std::string &what) {
   std::cout << TimerService::now().count() / 1000 << " " << what << '\n';
 }
 
-void SoakWorld::nextFault() {
-  Timers.after(upTo(2 * Setup.FaultEvery), [this](Instant) {
-    if (!Faulty)
+void SoakWorld::scheduleFault() {
+  Timers.after(randomUpTo(2 * Options.FaultInterval), [this](Instant) {
+    if (!InjectsFaults)
       return;
-    fault();
-    nextFault();
+    injectFault();
+    scheduleFault();
   });
 }
 
-void SoakWorld::fault() {
+void SoakWorld::injectFault() {
   constexpr std::uint64_t Kinds = 10;
   switch (Random() % Kinds) {
   case 0:
   case 1:
   case 2:
-    return nodeFault(oneOf(Nodes));
+    return injectNodeFault(randomOf(Nodes));
   case 3:
-    return storeFault();
+    return injectStoreFault();
   case 4:
   case 5:
-    return linkFault();
+    return injectLinkFault();
   case 6:
-    return changePlan();
+    return declareOrDeferPlan();
   case 7:
     return declareVersion(1 + Random() % 5);
   default:
-    return replicaFault(oneOf(Replicas));
+    return injectReplicaFault(randomOf(Replicas));
   }
 }
 
-void SoakWorld::nextEntriesFault() {
-  Timers.after(Setup.EntriesEvery, [this](Instant) {
-    if (!Faulty)
+void SoakWorld::scheduleEntriesFault() {
+  Timers.after(Options.EntriesInterval, [this](Instant) {
+    if (!InjectsFaults)
       return;
-    entriesFault();
-    nextEntriesFault();
+    injectEntriesFault();
+    scheduleEntriesFault();
   });
 }
 
-void SoakWorld::entriesFault() {
-  constexpr std::uint64_t Losses = 3;
-  auto kind = EntriesRandom() % Losses;
-  auto named = Callers.named();
+void SoakWorld::injectEntriesFault() {
+  constexpr std::uint64_t Kinds = 3;
+  auto kind = EntriesRandom() % Kinds;
+  auto addresses = Callers.knownAddresses();
   for (auto &it : Nodes)
-    if (std::count(named.begin(), named.end(), it->caller()))
-      nodeFault(*it, kind);
+    if (std::count(addresses.begin(), addresses.end(), it->callerAddress()))
+      injectNodeFault(*it, kind);
 }
 
-void SoakWorld::nextName() {
-  Timers.after(Setup.NamesEvery, [this](Instant) {
-    if (!Naming)
+void SoakWorld::scheduleVersion() {
+  Timers.after(Options.VersionInterval, [this](Instant) {
+    if (!DeclaresVersions)
       return;
-    nameFault();
-    nextName();
+    injectVersionFault();
+    scheduleVersion();
   });
 }
 
-void SoakWorld::nameFault() {
-  // Three adapters are named again soon, the others long after.
-  constexpr std::uint64_t Often = 3;
-  constexpr std::uint64_t Seldom = 5;
-  auto seldom = NamesRandom() % 4 == 0;
-  declareVersion(
-      1 + (seldom ? Often + NamesRandom() % Seldom : NamesRandom() % Often));
-  auto kind = NamesRandom() % 4;
-  auto at = NamesRandom() % static_cast<std::uint64_t>(Setup.Engines);
-  auto span = milliseconds(500 + NamesRandom() % 5000);
-  if (!Faulty || kind > 1)
+void SoakWorld::injectVersionFault() {
+  // New versions of three adapters are declared often, of the others rarely.
+  constexpr std::uint64_t FrequentAdapters = 3;
+  constexpr std::uint64_t RareAdapters = 5;
+  auto isRare = VersionRandom() % 4 == 0;
+  declareVersion(1 + (isRare ? FrequentAdapters + VersionRandom() % RareAdapters
+                             : VersionRandom() % FrequentAdapters));
+  auto kind = VersionRandom() % 4;
+  auto at = VersionRandom() % static_cast<std::uint64_t>(Options.Engines);
+  auto span = milliseconds(500 + VersionRandom() % 5000);
+  if (!InjectsFaults || kind > 1)
     return;
   auto &engine = **std::next(Replicas.begin(), static_cast<std::ptrdiff_t>(at));
-  say("engine " + engine.incarnation() +
+  log("engine " + engine.incarnation() +
       (kind ? " is slow to begin" : " carries orders out late"));
-  engine.setMood(kind ? SoakReplica::Mood::SlowToBegin
-                      : SoakReplica::Mood::LateOrders);
-  Timers.after(span,
-               [&engine](Instant) { engine.setMood(SoakReplica::Mood::Well); });
+  engine.setMode(kind ? SoakReplica::Mode::DelaysStart
+                      : SoakReplica::Mode::DelaysOrders);
+  Timers.after(
+      span, [&engine](Instant) { engine.setMode(SoakReplica::Mode::Healthy); });
 }
 
-void SoakWorld::nodeFault(SoakNode &node, std::uint64_t kind) {
-  auto later = milliseconds(200) + upTo(LongestHarm);
+void SoakWorld::injectNodeFault(SoakNode &node, std::uint64_t kind) {
+  auto delay = milliseconds(200) + randomUpTo(MaxFaultTime);
   switch (kind) {
   case 0:
-    say("kill " + node.name());
+    log("kill " + node.name());
     node.kill();
     break;
   case 1:
-    say("pause " + node.name());
+    log("pause " + node.name());
     node.pause();
-    Timers.after(later, [&node](Instant) { node.wake(); });
+    Timers.after(delay, [&node](Instant) { node.resume(); });
     return;
   case 2:
-    say("terminate " + node.name());
+    log("terminate " + node.name());
     node.terminate();
     break;
   default:
-    say("reload " + node.name());
+    log("reload " + node.name());
     node.reload();
     return;
   }
-  // It is started again some time after its end.
-  Timers.after(later + SoakNode::StopBound + seconds(2),
+  // The node is started again after it must have ended.
+  Timers.after(delay + SoakNode::StopBound + seconds(2),
                [&node](Instant) { node.start(); });
 }
 
-void SoakWorld::storeMood(SoakStore::Mood mood) {
-  Store.setMood(mood);
-  bool harmed = mood != SoakStore::Mood::Well;
-  if (harmed == std::exchange(StoreDisturbed, harmed))
+void SoakWorld::setStoreMode(SoakStore::Mode mode) {
+  Store.setMode(mode);
+  bool isDisturbed = mode != SoakStore::Mode::Healthy;
+  if (isDisturbed == std::exchange(StoreDisturbed, isDisturbed))
     return;
-  History.note("soak", harmed ? "silent" : "answering").Endpoint = "platform";
+  History.record("soak", isDisturbed ? "silent" : "answering").Endpoint =
+      "platform";
   for (auto &it : Nodes)
-    it->disturb(harmed);
-  // Operators work on through outages, so that changes are confirmed as these
-  // end; that is when a look that was lost in one hurts.
-  if (!harmed && (std::exchange(PlanWaits, false) || Random() % 2))
-    declare();
+    it->onDisturbance(isDisturbed);
+  // Operators also write during outages, so that changes are confirmed when an
+  // outage ends. A node whose poll was lost in the outage would miss them.
+  if (!isDisturbed && (std::exchange(PlanDeferred, false) || Random() % 2))
+    declarePlan();
 }
 
-void SoakWorld::storeFault() {
-  constexpr std::uint64_t Moods = 6;
-  auto kind = Random() % Moods;
+void SoakWorld::injectStoreFault() {
+  constexpr std::uint64_t Modes = 6;
+  auto kind = Random() % Modes;
   if (kind == 5) {
-    say("the store drops its history");
-    return Store.dropHistory();
+    log("the store drops its history");
+    return Store.truncateChangeLog();
   }
   if (StoreDisturbed)
     return;
-  auto mood =
-      static_cast<SoakStore::Mood>(1 + std::min<std::uint64_t>(kind, 3));
-  say("store mood " + std::to_string(static_cast<int>(mood)));
-  storeMood(mood);
-  Timers.after(milliseconds(200) + upTo(LongestHarm),
-               [this](Instant) { storeMood(SoakStore::Mood::Well); });
+  auto mode =
+      static_cast<SoakStore::Mode>(1 + std::min<std::uint64_t>(kind, 3));
+  log("store mood " + std::to_string(static_cast<int>(mode)));
+  setStoreMode(mode);
+  Timers.after(milliseconds(200) + randomUpTo(MaxFaultTime),
+               [this](Instant) { setStoreMode(SoakStore::Mode::Healthy); });
 }
 
-void SoakWorld::nextDrill() {
-  Timers.after(Setup.DrillEvery, [this](Instant) {
-    if (!Faulty)
+void SoakWorld::scheduleRevert() {
+  Timers.after(Options.RevertInterval, [this](Instant) {
+    if (!InjectsFaults)
       return;
-    drill();
-    nextDrill();
+    revertStore();
+    scheduleRevert();
   });
 }
 
-void SoakWorld::drill() {
+void SoakWorld::revertStore() {
   if (StoreDisturbed)
     return;
-  constexpr std::int64_t LongestAge = 8000;
-  constexpr std::int64_t LongestAway = 2000;
-  auto upToMs = [this](std::int64_t most) {
+  constexpr std::int64_t MaxAgeMs = 8000;
+  constexpr std::int64_t MaxOutageMs = 2000;
+  auto upToMs = [this](std::int64_t max) {
     return milliseconds(1 +
                         static_cast<std::int64_t>(
-                            DrillRandom() % static_cast<std::uint64_t>(most)));
+                            RevertRandom() % static_cast<std::uint64_t>(max)));
   };
-  auto age = upToMs(LongestAge);
-  say("the store goes away");
-  storeMood(SoakStore::Mood::Silent);
-  Timers.after(upToMs(LongestAway), [this, age](Instant) {
-    say("the store is back as it was " + std::to_string(age.count()) +
+  auto age = upToMs(MaxAgeMs);
+  log("the store goes away");
+  setStoreMode(SoakStore::Mode::Silent);
+  Timers.after(upToMs(MaxOutageMs), [this, age](Instant) {
+    log("the store is back as it was " + std::to_string(age.count()) +
         " ms before");
-    Store.stepBack(age);
-    storeMood(SoakStore::Mood::Well);
-    // Entries of replicas that have ended lapse again.
-    constexpr auto Lapse = milliseconds(1200);
-    Timers.after(Lapse, [this](Instant) {
+    Store.revertBy(age);
+    setStoreMode(SoakStore::Mode::Healthy);
+    // The revert may have restored entries of replicas that have ended; they
+    // expire again.
+    constexpr auto EntryTimeout = milliseconds(1200);
+    Timers.after(EntryTimeout, [this](Instant) {
       std::set<std::string> up;
       for (const auto &it : Replicas)
-        if (it->up())
+        if (it->isRunning())
           up.insert(it->incarnation());
       for (const auto &key : Store.keys(platform_name::ReplicaTable))
         if (!up.contains(key))
@@ -376,80 +379,81 @@
   });
 }
 
-void SoakWorld::linkFault() {
-  constexpr std::uint64_t Harms = 4;
-  auto harm = static_cast<SoakProxy::Harm>(1 + Random() % Harms);
-  auto span = milliseconds(200) + upTo(LongestHarm);
+void SoakWorld::injectLinkFault() {
+  constexpr std::uint64_t Faults = 4;
+  auto fault = static_cast<SoakProxy::Fault>(1 + Random() % Faults);
+  auto span = milliseconds(200) + randomUpTo(MaxFaultTime);
   if (Random() % 2) {
-    auto &node = oneOf(Nodes);
-    if (node.link().harm() != SoakProxy::Harm::None)
+    auto &node = randomOf(Nodes);
+    if (node.link().fault() != SoakProxy::Fault::None)
       return;
-    say("store link of " + node.name() + " harm " +
-        std::to_string(static_cast<int>(harm)));
-    node.link().setHarm(harm);
-    node.disturb(true);
-    History.note("soak", "harmed").To = node.name();
+    log("store link of " + node.name() + " harm " +
+        std::to_string(static_cast<int>(fault)));
+    node.link().setFault(fault);
+    node.onDisturbance(true);
+    History.record("soak", "harmed").To = node.name();
     Timers.after(span, [this, &node](Instant) {
-      node.link().setHarm(SoakProxy::Harm::None);
-      node.disturb(false);
-      History.note("soak", "mended").To = node.name();
+      node.link().setFault(SoakProxy::Fault::None);
+      node.onDisturbance(false);
+      History.record("soak", "mended").To = node.name();
     });
     return;
   }
-  auto &replica = oneOf(Replicas);
-  say("link of " + replica.incarnation() + " harm " +
-      std::to_string(static_cast<int>(harm)));
-  replica.link().setHarm(harm);
-  History.note("soak", "harmed");
+  auto &replica = randomOf(Replicas);
+  log("link of " + replica.incarnation() + " harm " +
+      std::to_string(static_cast<int>(fault)));
+  replica.link().setFault(fault);
+  History.record("soak", "harmed");
   Timers.after(span, [this, &replica](Instant) {
-    replica.link().setHarm(SoakProxy::Harm::None);
-    History.note("soak", "mended");
+    replica.link().setFault(SoakProxy::Fault::None);
+    History.record("soak", "mended");
   });
 }
 
-void SoakWorld::replicaFault(SoakReplica &replica) {
+void SoakWorld::injectReplicaFault(SoakReplica &replica) {
   constexpr std::uint64_t Kinds = 8;
   auto kind = Random() % Kinds;
-  auto span = milliseconds(500) + upTo(LongestHarm);
+  auto span = milliseconds(500) + randomUpTo(MaxFaultTime);
   if (kind < 2) {
-    say((kind ? "crash " : "leave ") + replica.incarnation());
+    log((kind ? "crash " : "leave ") + replica.incarnation());
     if (kind)
       replica.crash();
     else
-      replica.leave();
+      replica.drain();
     Timers.after(span + seconds(3), [&replica](Instant) {
-      if (!replica.up())
+      if (!replica.isRunning())
         replica.start();
     });
     return;
   }
-  constexpr std::uint64_t Moods = 5;
-  auto mood = static_cast<SoakReplica::Mood>(1 + Random() % Moods);
-  say("replica " + replica.incarnation() + " mood " +
-      std::to_string(static_cast<int>(mood)));
-  replica.setMood(mood);
-  Timers.after(
-      span, [&replica](Instant) { replica.setMood(SoakReplica::Mood::Well); });
+  constexpr std::uint64_t Modes = 5;
+  auto mode = static_cast<SoakReplica::Mode>(1 + Random() % Modes);
+  log("replica " + replica.incarnation() + " mood " +
+      std::to_string(static_cast<int>(mode)));
+  replica.setMode(mode);
+  Timers.after(span, [&replica](Instant) {
+    replica.setMode(SoakReplica::Mode::Healthy);
+  });
 }
 
-void SoakWorld::changePlan() {
-  auto mood = Store.mood();
-  if (mood == SoakStore::Mood::Silent || mood == SoakStore::Mood::Busy)
-    PlanWaits = true;
+void SoakWorld::declareOrDeferPlan() {
+  auto mode = Store.mode();
+  if (mode == SoakStore::Mode::Silent || mode == SoakStore::Mode::Busy)
+    PlanDeferred = true;
   else
-    declare();
+    declarePlan();
 }
 
-void SoakWorld::declare() {
+void SoakWorld::declarePlan() {
   ++Plan;
-  say("plan " + std::to_string(Plan));
+  log("plan " + std::to_string(Plan));
   Json models = Json::array({{{"name", site::Model},
                               {"weights_mb", 900},
                               {"load_time_s", 2.0},
-                              {"adapters", site::Adapters},
+                              {"adapters", site::AdapterCount},
                               {"adapter_size_mb", 1.0}}});
   Json engine{{"slots", 8},         {"kv_capacity_tokens", 50000},
-              {"weights_mb", 1000}, {"adapter_slots", site::AdapterPlaces},
+              {"weights_mb", 1000}, {"adapter_slots", site::AdapterSlots},
               {"loads_per_s", 3.0}, {"models", models}};
   Json services =
       Json::array({{{"name", site::EngineService},
@@ -468,10 +472,10 @@
             {"routes", routes},
             {"services", services},
             {"limits", Json::object()}};
-  if (Setup.Workspaces)
-    plan["tenants"] = SoakWorkspaces::declared(Plan);
+  if (Options.Workspaces)
+    plan["tenants"] = SoakWorkspaces::declaredIn(Plan);
   Store.put(platform_name::OperatorTable, platform_name::PlanKey, plan.dump());
-  auto &event = History.note("operator", "accepted");
+  auto &event = History.record("operator", "accepted");
   event.Revision = Plan;
   event.Change = "plan " + std::to_string(Plan);
   Callers.setPlan(Plan);
@@ -481,10 +485,10 @@
   auto name = "a" + std::to_string(number);
   auto full = std::string(site::Model) + "/" + name;
   if (Versions.empty())
-    for (int it = 1; it <= site::Adapters; ++it)
+    for (int it = 1; it <= site::AdapterCount; ++it)
       Versions[std::string(site::Model) + "/a" + std::to_string(it)] = 1;
   ++Versions[full];
-  say("version " + std::to_string(Versions[full]) + " of " + full);
+  log("version " + std::to_string(Versions[full]) + " of " + full);
   Store.put(platform_name::OperatorTable,
             std::string(platform_name::VersionKeys) + std::string(site::Model) +
                 "." + name,
@@ -492,22 +496,22 @@
                  {"adapter", name},
                  {"version", Versions[full]}}
                 .dump());
-  // A store that does not answer confirms it as it is well again, from when
-  // the verdict counts in any case.
-  History.note("operator", "named").Adapter =
+  // A store that doesn't answer confirms the write only when it answers again.
+  // The verdict counts from the end of a disturbance in any case.
+  History.record("operator", "named").Adapter =
       full + "@" + std::to_string(Versions[full]);
 }
 
-void SoakWorld::heal() {
-  say("all is well");
-  storeMood(SoakStore::Mood::Well);
+void SoakWorld::restoreAll() {
+  log("all is well");
+  setStoreMode(SoakStore::Mode::Healthy);
   for (auto &it : Replicas) {
-    it->setMood(SoakReplica::Mood::Well);
-    if (!it->up())
+    it->setMode(SoakReplica::Mode::Healthy);
+    if (!it->isRunning())
       it->start();
   }
   for (auto &it : Nodes)
-    it->wake();
+    it->resume();
 }
 
 } // namespace hemlockglade::soak
--- a/UnitTests/Platform/Soak/SoakWorld.h
+++ b/UnitTests/Platform/Soak/SoakWorld.h
@@ -7,8 +7,8 @@
 
 namespace hemlockglade::soak {
 
-/// A deployment on loopback: real gateways, and stand-ins for all else. Does
-/// what the seed says to it.
+/// A deployment on loopback: real gateways, and stand-ins for everything else.
+/// Injects faults that are drawn from a seed.
 class SoakWorld {
 public:
   struct Settings {
@@ -17,120 +17,127 @@
     std::uint64_t Seed = 1;
     int Nodes = 6;
     int Engines = 6;
-    /// Requests a second.
+    /// Requests per second.
     double Rate = 40;
-    /// Mean time between two faults; they overlap.
-    Span FaultEvery = std::chrono::milliseconds(700);
-    /// Mean time between two losses of all that callers were last named; none
-    /// if 0.
-    Span EntriesEvery{0};
-    /// Time between sendings of a request that crashes replicas; none if 0.
-    Span CrashingEvery{0};
-    /// Mean time between returns of the store as it was before; none if 0.
-    Span DrillEvery{0};
-    /// Time between names of new versions of few adapters; none if 0. Then
-    /// engines also hold requests back and carry orders out late.
-    Span NamesEvery{0};
-    /// Time within which requests must begin on weights that were named newer.
+    /// Mean time between two faults, which may overlap.
+    Span FaultInterval = std::chrono::milliseconds(700);
+    /// Time between two faults of all gateways that the directory last returned
+    /// to callers; none if 0.
+    Span EntriesInterval{0};
+    /// Time between requests that crash replicas; none if 0.
+    Span CrashingInterval{0};
+    /// Time between reverts of the store to an older state; none if 0.
+    Span RevertInterval{0};
+    /// Time between declarations of new versions of a few adapters; none if 0.
+    /// If set, engines also delay requests and execute orders late.
+    Span VersionInterval{0};
+    /// How long requests may still begin on a version of weights that has been
+    /// replaced.
     Span VersionBound = std::chrono::seconds(5);
-    /// Callers belong to workspaces, with keys that each plan changes; one of
-    /// them sends far beyond its limit.
+    /// Whether callers belong to workspaces, whose keys change with each plan;
+    /// one of them sends far beyond its limit.
     bool Workspaces = false;
     /// Time after the last fault until the deployment must serve again.
     Span Recovery = std::chrono::seconds(12);
-    SoakReplica::Plant Planted = SoakReplica::Plant::None;
+    SoakReplica::PlantedViolation Planted = SoakReplica::PlantedViolation::None;
   };
 
   explicit SoakWorld(Settings settings);
   ~SoakWorld();
 
-  /// Plays for so long with faults, then heals everything and plays on until
+  /// Runs for `faultTime` with faults, then ends all faults and runs on until
   /// the deployment must serve again.
-  void play(Span faulty);
+  void runScenario(Span faultTime);
 
   SoakHistory &history() { return History; }
   const SoakCallers::Counts &counts() const { return Callers.counts(); }
-  /// Requests of the quiet end, and those of them that were complete.
-  std::pair<int, int> quietEnd() const { return Quiet; }
-  /// Times that a gateway ended by itself.
-  int selfEnds() const;
-  /// What replicas saw of workspaces; null if there are none.
+  /// Returns the number of requests sent in the last part, without faults, and
+  /// of those that were complete. Aborted requests and those over a limit don't
+  /// count.
+  std::pair<int, int> quietCounts() const { return QuietCounts; }
+  /// Returns how often a gateway ended without being killed or ordered to stop.
+  int unexpectedEnds() const;
+  /// Returns the workspaces with the runs that replicas recorded; null if there
+  /// are none.
   const SoakWorkspaces *workspaces() const {
-    return Setup.Workspaces ? &Workspaces : nullptr;
+    return Options.Workspaces ? &Workspaces : nullptr;
   }
-  /// Revoked keys that were tried at the quiet end, and how many were served.
+  /// Returns the number of requests with a revoked key in the last part,
+  /// without faults, and of those that were served.
   std::pair<int, int> quietRevoked() const { return QuietRevoked; }
-  /// When replicas began to run the request that crashes them.
+  /// Returns the times at which replicas began to run the request that crashes
+  /// them.
   const std::vector<Instant> &crashes() const { return Crashes; }
 
 private:
-  std::string takeNetwork();
-  /// Whether nothing listens where the first gateway is to.
-  bool isFree(const std::string &network);
+  std::string acquireNetwork();
+  /// Whether nothing listens at the first gateway's address in the network.
+  bool isNetworkFree(const std::string &network);
   void buildNodes();
   void buildReplicas();
   void runFor(Span span);
-  void nextFault();
-  void fault();
-  void nodeFault(SoakNode &node) { nodeFault(node, Random() % 4); }
-  void nodeFault(SoakNode &node, std::uint64_t kind);
-  void nextEntriesFault();
-  /// Loses, in one way, all gateways that callers were last named.
-  void entriesFault();
-  void storeFault();
-  void nextDrill();
-  /// The store is away for a moment and comes back some seconds older.
-  void drill();
-  void linkFault();
-  void replicaFault(SoakReplica &replica);
-  /// What an operator does: names a new plan. While the store doesn't answer
-  /// it is confirmed, and counts, as soon as the store does.
-  void changePlan();
-  void declare();
+  void scheduleFault();
+  void injectFault();
+  void injectNodeFault(SoakNode &node) { injectNodeFault(node, Random() % 4); }
+  void injectNodeFault(SoakNode &node, std::uint64_t kind);
+  void scheduleEntriesFault();
+  /// Injects the same fault into all gateways that the directory last returned.
+  void injectEntriesFault();
+  void injectStoreFault();
+  void scheduleRevert();
+  /// Makes the store silent for a short time, then reverts it by up to 8 s.
+  void revertStore();
+  void injectLinkFault();
+  void injectReplicaFault(SoakReplica &replica);
+  /// Declares a new plan, or defers it until the store answers again: operators
+  /// get no confirmation before that.
+  void declareOrDeferPlan();
+  void declarePlan();
   void declareVersion(std::uint64_t number);
-  void nextName();
-  void nameFault();
-  void heal();
-  void outage();
-  void say(const std::string &what);
-  Span upTo(Span span) {
+  void scheduleVersion();
+  void injectVersionFault();
+  void restoreAll();
+  void causeOutage();
+  void log(const std::string &what);
+  Span randomUpTo(Span span) {
     return Span(static_cast<std::int64_t>(
         Random() % static_cast<std::uint64_t>(span.count())));
   }
-  template <typename T> T &oneOf(std::list<std::unique_ptr<T>> &all) {
+  template <typename T> T &randomOf(std::list<std::unique_ptr<T>> &all) {
     return **std::next(all.begin(),
                        static_cast<std::ptrdiff_t>(Random() % all.size()));
   }
-  void storeMood(SoakStore::Mood mood);
+  void setStoreMode(SoakStore::Mode mode);
 
-  Settings Setup;
+  Settings Options;
   std::mt19937_64 Random;
-  /// Of its own, so that what else a seed draws stays as it is.
+  /// Separate generators, so that their use doesn't change what the same seed
+  /// draws elsewhere.
   std::mt19937_64 EntriesRandom;
-  std::mt19937_64 DrillRandom;
-  std::mt19937_64 NamesRandom;
+  std::mt19937_64 RevertRandom;
+  std::mt19937_64 VersionRandom;
   asio::io_context Context;
   TimerService Timers;
-  /// Holds the soak's loopback network.
+  /// A listener that keeps other soaks from using the same loopback network.
   asio::ip::tcp::acceptor Network{Context};
-  /// Ends the gateways with a soak that is told to end.
-  asio::signal_set Ends{Context, SIGTERM, SIGINT, SIGHUP};
+  /// Ends the gateways when the soak receives a signal to end.
+  asio::signal_set TerminationSignals{Context, SIGTERM, SIGINT, SIGHUP};
   SoakHistory History;
   SoakStore Store;
-  SoakWorkspaces Workspaces{Setup.Seed};
+  SoakWorkspaces Workspaces{Options.Seed};
   std::list<std::unique_ptr<SoakNode>> Nodes;
   std::list<std::unique_ptr<SoakReplica>> Replicas;
   SoakCallers Callers;
-  bool Faulty = false;
-  bool Naming = false;
+  bool InjectsFaults = false;
+  bool DeclaresVersions = false;
   bool StoreDisturbed = false;
-  bool PlanWaits = false;
+  bool PlanDeferred = false;
   std::uint64_t Plan = 0;
   std::map<std::string, std::uint32_t> Versions;
-  std::pair<int, int> Quiet{0, 0};
+  std::pair<int, int> QuietCounts{0, 0};
   std::pair<int, int> QuietRevoked{0, 0};
   std::vector<Instant> Crashes;
-  TimerService::Subscription Looking;
+  TimerService::Subscription ProcessTimer;
 };
 
 } // namespace hemlockglade::soak
