--- a/Programs/hemlockctl/Commands.cpp
+++ b/Programs/hemlockctl/Commands.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t CommandIdBytes = 16;
-/// Time between two looks at the revisions that nodes have in force.
-constexpr Span ForcePoll = std::chrono::milliseconds(200);
+/// Interval between two queries for the revisions that nodes have in force.
+constexpr Span InForcePollInterval = std::chrono::milliseconds(200);
 
 std::string newCommandId() {
   constexpr std::string_view Digits = "0123456789abcdef";
@@ -24,13 +24,13 @@
   return id;
 }
 
-void tellError(const std::string &text) {
+void printError(const std::string &text) {
   std::cerr << "hemlockctl: " << text << '\n';
 }
 
-/// Points at the column of a statement that is wrong.
-void tellStatementError(const std::string &statement, std::size_t column,
-                        const std::string &text) {
+/// Prints a statement with a mark below the column that is wrong.
+void printStatementError(const std::string &statement, std::size_t column,
+                         const std::string &text) {
   std::cerr << statement << '\n'
             << std::string(column - 1, ' ') << "^\n"
             << "column " << column << ": " << text << '\n';
@@ -42,7 +42,7 @@
   text << file.rdbuf();
   if (file)
     return text.str();
-  tellError("can't read " + name);
+  printError("can't read " + name);
   return tl::unexpected(ExitCode::Usage);
 }
 
@@ -101,25 +101,25 @@
 tl::expected<std::string, ExitCode> Commands::send(const HttpRequest &request) {
   auto answer = Caller.call(request);
   if (!answer) {
-    tellError("no node answered\n" + answer.error());
+    printError("no node answered\n" + answer.error());
     if (request.Method != "GET")
-      tellError("to repeat the same command: --command_id " +
-                request.Fields.front().second);
+      printError("to repeat the same command: --command_id " +
+                 request.Fields.front().second);
     return tl::unexpected(ExitCode::NoAnswer);
   }
   if (answer->isOk())
     return std::move(answer->Body);
   auto error = admin_format::readError(answer->Body);
-  tellError("refused (" + std::to_string(answer->Status) +
-            "): " + error.Message);
+  printError("refused (" + std::to_string(answer->Status) +
+             "): " + error.Message);
   return tl::unexpected(ExitCode::Refused);
 }
 
 ExitCode Commands::statement(const std::string &text) {
   auto parsed = parseStatement(text);
   if (!parsed) {
-    tellStatementError(text, parsed.error().Column,
-                       "expected " + parsed.error().Expected);
+    printStatementError(text, parsed.error().Column,
+                        "expected " + parsed.error().Expected);
     return ExitCode::Usage;
   }
   auto request = newRequest("POST", admin_path::Statement);
@@ -130,7 +130,7 @@
     return body.error();
   auto rows = admin_format::readRows(*body);
   if (!rows) {
-    tellError(rows.error().Message);
+    printError(rows.error().Message);
     return ExitCode::Refused;
   }
   std::cout << (Settings.Json ? *body : tableText(*rows));
@@ -162,7 +162,7 @@
     return tl::unexpected(body.error());
   auto answer = admin_format::readChange(*body);
   if (!answer) {
-    tellError(answer.error().Message);
+    printError(answer.error().Message);
     return tl::unexpected(ExitCode::Refused);
   }
   if (Settings.Json)
@@ -185,13 +185,14 @@
     return answer.error();
   if (!Settings.Json)
     std::cout << "committed as revision " << answer->Number << '\n';
-  return Settings.Wait.count() > 0 ? waitForce(answer->Number) : ExitCode::Done;
+  return Settings.Wait.count() > 0 ? waitInForce(answer->Number)
+                                   : ExitCode::Done;
 }
 
 tl::expected<RowSet, AdminError> Commands::query(const std::string &text) {
   auto request = newRequest("POST", admin_path::Statement);
   auto &id = request.Fields.front().second;
-  // A query of the tool's own is not the command that it follows.
+  // The tool's own query must not have the id of the command before it.
   id = newCommandId();
   request.Body = admin_format::statementBody({text, id, Settings.Operator});
   auto answer = Caller.call(request);
@@ -200,27 +201,27 @@
   return admin_format::readRows(answer->Body);
 }
 
-ExitCode Commands::waitForce(Revision revision) {
+ExitCode Commands::waitInForce(Revision revision) {
   auto until = std::chrono::steady_clock::now() + Settings.Wait;
   std::string why;
   while (true) {
     auto rows = query("show nodes");
-    auto late = rows ? nodesBehind(*rows, revision) : std::nullopt;
-    if (late && late->empty()) {
-      // Stdout stays one JSON message.
+    auto behind = rows ? nodesBehind(*rows, revision) : std::nullopt;
+    if (behind && behind->empty()) {
+      // With JSON, stdout contains nothing but the one JSON document.
       (Settings.Json ? std::cerr : std::cout)
           << "in force on every live node\n";
       return ExitCode::Done;
     }
-    why = late   ? "not yet on: " + join(*late)
+    why = behind ? "not yet on: " + join(*behind)
           : rows ? "the nodes' revisions are not known"
                  : rows.error().Message;
-    if (std::chrono::steady_clock::now() + ForcePoll > until)
+    if (std::chrono::steady_clock::now() + InForcePollInterval > until)
       break;
-    std::this_thread::sleep_for(ForcePoll);
+    std::this_thread::sleep_for(InForcePollInterval);
   }
-  tellError("revision " + std::to_string(revision) +
-            " is committed, but was not seen in force everywhere: " + why);
+  printError("revision " + std::to_string(revision) +
+             " is committed, but was not seen in force everywhere: " + why);
   return ExitCode::NotInForce;
 }
 
--- a/Programs/hemlockctl/Commands.h
+++ b/Programs/hemlockctl/Commands.h
@@ -7,14 +7,14 @@
 /// Exit status of the tool.
 enum class ExitCode : std::uint8_t {
   Done = 0,
-  /// A node answered that it did not do it.
+  /// A node answered that it did not carry out the command.
   Refused = 1,
   /// Wrong usage, file or statement; nothing was sent.
   Usage = 2,
-  /// No node gave a whole answer; the command may have been carried out, and
-  /// a repeat with the same command id is safe.
+  /// No node gave a whole answer. The command may have been carried out;
+  /// sending it again with the same command id is safe.
   NoAnswer = 3,
-  /// Committed, but not in force on every live node within the wait.
+  /// Committed, but not in force on every live node within the wait time.
   NotInForce = 4,
   /// `diff` found differences.
   Differs = 5,
@@ -22,19 +22,19 @@
 
 /// How commands are sent and their answers printed.
 struct CommandSettings {
-  /// JSON as the node sent it in place of tables.
+  /// Prints JSON as the node sent it instead of tables.
   bool Json = false;
-  /// How long `apply` waits for the revision to be in force everywhere; zero
-  /// for not at all.
+  /// How long `apply` waits for the revision to be in force on every live node;
+  /// it does not wait if zero.
   Span Wait{};
   /// Name of the operator.
   std::string Operator;
-  /// Id of the command; empty for a new one each time.
+  /// Id of the command; if empty, each command gets a new one.
   std::string CommandId;
 };
 
-/// The tool's commands; the prompt and the command line share them. Answers go
-/// to stdout, faults to stderr.
+/// The commands of the tool, for the prompt and the command line. Answers go to
+/// stdout, errors to stderr.
 class Commands {
 public:
   Commands(CommandSettings settings, NodeCaller caller);
@@ -50,15 +50,17 @@
   ExitCode check(const std::string &file);
   ExitCode exportDeclarations();
 
-  /// Posts a checked file and prints what it changes.
+  /// Checks a file of declarations, sends it and prints the changes.
   tl::expected<ChangeAnswer, ExitCode>
   sendDeclarations(std::string_view path, const std::string &file);
   /// Waits until every live node has the revision in force.
-  ExitCode waitForce(Revision revision);
-  /// Rows of a query; nothing if no node gave them.
+  ExitCode waitInForce(Revision revision);
+  /// Returns the rows of a statement that changes nothing, or the error.
   tl::expected<RowSet, AdminError> query(const std::string &text);
+  /// Builds a request with the command id and the operator in its fields.
   HttpRequest newRequest(std::string_view method, std::string_view path);
-  /// Sends a request and tells the operator if nothing usable came back.
+  /// Sends a request and returns the body of the answer; prints the error if
+  /// there is none or the node refused.
   tl::expected<std::string, ExitCode> send(const HttpRequest &request);
 
   CommandSettings Settings;
--- a/Programs/hemlockctl/Explain.cpp
+++ b/Programs/hemlockctl/Explain.cpp
@@ -13,8 +13,8 @@
 
 using OnLine = std::function<void(const LogLine &line, const std::string &raw)>;
 
-/// Hands over every log line of the files; gives how many others there were,
-/// or nothing if a file can't be read.
+/// Calls `onLine` for every log line of the files. Returns the number of other
+/// lines, or nothing if a file can't be read.
 std::optional<std::size_t> readLogs(const std::vector<std::string> &files,
                                     const OnLine &onLine) {
   std::size_t others = 0;
@@ -38,12 +38,12 @@
   return others;
 }
 
-ExitCode noLines() {
+ExitCode failWithoutLines() {
   std::cerr << "hemlockctl: no line of a node's log in these files\n";
   return ExitCode::Usage;
 }
 
-void tellOthers(std::size_t others) {
+void printOthers(std::size_t others) {
   if (others > 0)
     std::cerr << "hemlockctl: " << others << " lines were no log lines\n";
 }
@@ -57,13 +57,13 @@
   if (!others)
     return ExitCode::Usage;
   if (account.lines() == 0)
-    return noLines();
-  tellOthers(*others);
+    return failWithoutLines();
+  printOthers(*others);
   account.print(std::cout);
   return ExitCode::Done;
 }
 
-/// Lines that bear on a request: its own, and orders for its weights.
+/// Prints the lines of one request and the orders for its weights, by time.
 ExitCode explainOne(const ExplainSettings &settings) {
   std::vector<std::pair<LogLine, std::string>> own;
   std::vector<std::pair<LogLine, std::string>> orders;
@@ -76,7 +76,7 @@
                          });
   if (!others)
     return ExitCode::Usage;
-  tellOthers(*others);
+  printOthers(*others);
   if (own.empty()) {
     std::cerr << "hemlockctl: no line about request " << settings.Request
               << '\n';
--- a/Programs/hemlockctl/Explain.h
+++ b/Programs/hemlockctl/Explain.h
@@ -4,15 +4,16 @@
 
 namespace hemlockglade {
 
-/// Reads nodes' logs and says what became of requests. Needs no node.
+/// Settings of the command `explain`.
 struct ExplainSettings {
   /// Files with log lines; `-` is standard input.
   std::vector<std::string> Files;
-  /// Only the lines of this request, and orders for the weights it wanted; all
-  /// requests together if empty.
+  /// Id of the request whose lines are printed, with the orders for its
+  /// weights; if empty, all requests are summed up together.
   std::string Request;
 };
 
+/// Reads nodes' logs and prints what happened to requests. Needs no node.
 ExitCode explain(const ExplainSettings &settings);
 
 } // namespace hemlockglade
--- a/Programs/hemlockctl/Main.cpp
+++ b/Programs/hemlockctl/Main.cpp
@@ -5,39 +5,43 @@
 #include <iostream>
 #include <sstream>
 
-DEFINE_string(node, "",
-              "addresses of nodes, ip:port[,ip:port...]; the next is tried if "
-              "one does not answer");
+DEFINE_string(
+    node, "",
+    "addresses of nodes, ip:port[,ip:port...]; if one does not answer, "
+    "the next is used");
 DEFINE_string(output, "table", "table or json");
-DEFINE_int32(wait_s, 0,
-             "apply: wait this many seconds at most until the revision is in "
-             "force on every live node; 0 does not wait");
-DEFINE_int32(timeout_s, 10, "seconds that one node may take to answer");
+DEFINE_int32(
+    wait_s, 0,
+    "apply: maximum number of seconds to wait until the revision is in "
+    "force on every live node; 0 does not wait");
+DEFINE_int32(timeout_s, 10, "timeout for the answer of one node, in seconds");
 DEFINE_string(operator_name, "",
-              "who gives the command; the user's name if empty");
+              "name of the operator; the user's name if empty");
 DEFINE_string(logs, "",
               "explain: file with nodes' log lines; - is standard input");
 DEFINE_string(request, "", "explain: id of the request to explain");
-DEFINE_string(command_id, "",
-              "id of the command, to repeat one whose answer was lost");
+DEFINE_string(
+    command_id, "",
+    "id of the command; set it to send a command again whose answer was "
+    "lost");
 
 namespace {
 
 using namespace hemlockglade;
 
 constexpr const char *Usage =
-    "asks and commands hemlockglade.\n\n"
+    "queries and controls hemlockglade.\n\n"
     "  hemlockctl --node IP:PORT[,IP:PORT...] [--output table|json] COMMAND\n\n"
     "  apply FILE   check declarations, commit them as the next revision\n"
-    "  diff FILE    what applying them would change\n"
+    "  diff FILE    print what applying them would change\n"
     "  check FILE   only check them; needs no node\n"
-    "  export       the declarations in force\n"
+    "  export       print the declarations in force\n"
     "  explain --logs FILE [FILE...] [--request ID]\n"
-    "               what nodes' logs say became of one request, or of all:\n"
-    "               loads, waits, refusals and tries by reason, and windows\n"
-    "               of 2 s by route; needs no node\n"
+    "               print what happened to one request, or to all, from\n"
+    "               nodes' logs: loads, waits, refusals and attempts by\n"
+    "               reason, and windows of 2 s by route; needs no node\n"
     "  STATEMENT    show, load, pin, unpin, drain, undrain or stop\n"
-    "  (nothing)    a prompt with history\n\n"
+    "  (nothing)    start a prompt with history\n\n"
     "Exit status: 0 done, 1 refused, 2 wrong usage, file or statement,\n"
     "3 no node answered, 4 committed but not in force everywhere in time,\n"
     "5 diff found differences.";
@@ -66,8 +70,8 @@
   return !words.empty() && words[0] == "explain";
 }
 
-/// What is wrong with the flags of `explain`; empty if nothing is.
-std::string explainFault(const std::vector<std::string> &words) {
+/// Returns what is wrong with the flags of `explain`; empty if they are valid.
+std::string explainError(const std::vector<std::string> &words) {
   if (!isExplain(words) && !(FLAGS_logs.empty() && FLAGS_request.empty()))
     return "--logs and --request: expected the command explain";
   if (isExplain(words) && FLAGS_logs.empty())
@@ -80,11 +84,11 @@
   return static_cast<int>(explain({std::move(words), FLAGS_request}));
 }
 
-/// What is wrong with the command line; empty if nothing is.
-std::string flagFault(const std::vector<std::string> &words,
+/// Returns what is wrong with the command line; empty if it is valid.
+std::string flagError(const std::vector<std::string> &words,
                       const std::vector<std::string> &nodes) {
-  if (auto fault = explainFault(words); !fault.empty())
-    return fault;
+  if (auto error = explainError(words); !error.empty())
+    return error;
   bool needsNode = words.empty() || (words[0] != "check" && !isExplain(words));
   if (FLAGS_output != "table" && FLAGS_output != "json")
     return "--output: expected table or json, not '" + FLAGS_output + "'";
@@ -109,8 +113,8 @@
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   std::vector<std::string> words(argv + 1, argv + argc);
   auto nodes = split(FLAGS_node);
-  if (auto fault = flagFault(words, nodes); !fault.empty())
-    return usageError(fault);
+  if (auto error = flagError(words, nodes); !error.empty())
+    return usageError(error);
   if (isExplain(words))
     return runExplain(std::move(words));
   CommandSettings settings{FLAGS_output == "json",
--- a/Programs/hemlockctl/NodeCaller.h
+++ b/Programs/hemlockctl/NodeCaller.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade {
 
-/// What a node answered.
+/// The answer of a node.
 struct NodeAnswer {
   int Status = 0;
   std::string Body;
@@ -15,22 +15,23 @@
   bool isOk() const { return Status == 200; }
 };
 
-/// Asks nodes over HTTP: one after the other until one gives a whole answer.
+/// Sends requests to nodes over HTTP, one node after the other until one gives
+/// a whole answer.
 class NodeCaller {
 public:
-  /// `nodes` are addresses, ip:port; `timeout` is for each of them.
+  /// `nodes` are addresses, ip:port; `timeout` applies to each of them.
   NodeCaller(std::vector<std::string> nodes, Span timeout);
 
-  /// Sends the request; its URL is only the path, and each try is the same
-  /// request. The error says why no node answered, one line a node.
+  /// Sends the request, whose URL is only the path, unchanged in each attempt.
+  /// The error says why no node answered, one line per node.
   tl::expected<NodeAnswer, std::string> call(const HttpRequest &request);
 
 private:
-  /// Asks one node; the error is the transport's.
+  /// Sends the request to one node. The error is that of the transport.
   tl::expected<NodeAnswer, std::string> callOne(HttpRequest request,
                                                 const std::string &node) const;
 
-  /// The one that answered last goes first.
+  /// Addresses; the node that answered last is the first.
   std::vector<std::string> Nodes;
   Span Timeout;
 };
--- a/Programs/hemlockctl/Prompt.cpp
+++ b/Programs/hemlockctl/Prompt.cpp
@@ -28,8 +28,9 @@
   return std::string(line.get());
 }
 
-/// Whether the line is a command with a file, in place of a statement.
-bool isFileCommand(const std::string &word) {
+/// Whether the word is a command of the tool instead of the start of a
+/// statement.
+bool isToolCommand(const std::string &word) {
   return word == "apply" || word == "diff" || word == "check" ||
          word == "export";
 }
@@ -39,8 +40,9 @@
   std::vector<std::string> words;
   for (std::string word; in >> word;)
     words.push_back(word);
-  // A statement goes as it was typed, so that columns are those of the line.
-  if (isFileCommand(words.front()))
+  // A statement is passed as it was typed, so that the columns in its errors
+  // are those of the line.
+  if (isToolCommand(words.front()))
     return commands.run(words);
   return commands.statement(line);
 }
--- a/Programs/hemlockgladed/AdminFront.cpp
+++ b/Programs/hemlockgladed/AdminFront.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view ForwardedField = "X-Forwarded-By";
 constexpr Span ForwardTimeout = std::chrono::seconds(3);
-constexpr int ConflictTries = 5;
+constexpr int MaxConflictAttempts = 5;
 constexpr Span ConflictDelay = std::chrono::milliseconds(200);
 constexpr int Ok = 200;
 constexpr int BadRequest = 400;
@@ -28,7 +28,7 @@
            admin_format::errorBody(AdminError{0, std::move(message)}));
 }
 
-/// One row that says what was done.
+/// Returns one row with the statement that was carried out.
 RowSet doneRow(std::string what) { return {{"done"}, {{std::move(what)}}}; }
 
 int statusOf(ConfigErrorKind kind) {
@@ -57,7 +57,8 @@
   return "unknown whether it was accepted; repeat the same command";
 }
 
-/// Whether a subject is told by the configuration alone.
+/// Whether the rows of a subject come from the configuration alone, so that
+/// no other node is needed.
 bool isConfigured(ShowSubject subject) {
   return subject == ShowSubject::Adapters || subject == ShowSubject::Config ||
          subject == ShowSubject::Classes || subject == ShowSubject::Pins;
@@ -70,7 +71,7 @@
     : Self(std::move(self)), Client(client), Config(config), Cells(cells),
       Hooks(std::move(hooks)) {}
 
-bool AdminFront::take(HttpIncoming &incoming, const ReplyPtr &reply) {
+bool AdminFront::handle(HttpIncoming &incoming, const ReplyPtr &reply) {
   const auto &path = incoming.Path;
   if (path == admin_path::Statement)
     onStatement(incoming, reply);
@@ -99,13 +100,13 @@
     LOG(INFO) << "statement operator=" << request->Operator
               << " command=" << request->CommandId << " forwarded=" << forwarded
               << " text=\"" << request->Statement << '"';
-  std::visit([&](const auto &it) { run(it, *request, forwarded, reply); },
+  std::visit([&](const auto &it) { execute(it, *request, forwarded, reply); },
              *parsed);
 }
 
-void AdminFront::run(const statement::Show &show,
-                     const StatementRequest &request, bool forwarded,
-                     const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Show &show,
+                         const StatementRequest &request, bool forwarded,
+                         const ReplyPtr &reply) {
   if (isConfigured(show.Subject)) {
     auto rows = catalogRows(show.Subject, Config.inForce()->catalog());
     return sendBody(*reply, Ok,
@@ -114,7 +115,7 @@
   if (forwarded)
     return sendBody(*reply, Ok,
                     admin_format::rowsBody(localRows(show.Subject)));
-  gather(show, request, reply);
+  gatherRows(show, request, reply);
 }
 
 RowSet AdminFront::localRows(ShowSubject subject) const {
@@ -151,55 +152,55 @@
   }
 }
 
-void AdminFront::gather(const statement::Show &show,
-                        const StatementRequest &request,
-                        const ReplyPtr &reply) {
-  struct Gathering {
+void AdminFront::gatherRows(const statement::Show &show,
+                            const StatementRequest &request,
+                            const ReplyPtr &reply) {
+  struct PendingRows {
     std::mutex Mutex;
-    std::size_t Left = 1;
+    std::size_t Remaining = 1;
     RowSet Rows;
-    std::string Missing;
+    std::string FailedNodes;
   };
-  auto state = std::make_shared<Gathering>();
-  state->Rows = localRows(show.Subject);
-  auto arrived = [state, show, reply](const std::string &node,
-                                      const std::string &body) {
-    std::lock_guard lock(state->Mutex);
+  auto pending = std::make_shared<PendingRows>();
+  pending->Rows = localRows(show.Subject);
+  auto onRows = [pending, show, reply](const std::string &node,
+                                       const std::string &body) {
+    std::lock_guard lock(pending->Mutex);
     if (auto rows = admin_format::readRows(body))
       std::move(rows->Rows.begin(), rows->Rows.end(),
-                std::back_inserter(state->Rows.Rows));
+                std::back_inserter(pending->Rows.Rows));
     else if (!node.empty())
-      state->Missing += (state->Missing.empty() ? "" : ",") + node;
-    if (--state->Left)
+      pending->FailedNodes += (pending->FailedNodes.empty() ? "" : ",") + node;
+    if (--pending->Remaining)
       return;
     HttpFields fields{{"Content-Type", "application/json"}};
-    if (!state->Missing.empty())
-      fields.emplace_back("X-Missing-Nodes", state->Missing);
+    if (!pending->FailedNodes.empty())
+      fields.emplace_back("X-Missing-Nodes", pending->FailedNodes);
     reply->sendWhole(Ok, fields,
-                     admin_format::rowsBody(selectRows(state->Rows, show)) +
+                     admin_format::rowsBody(selectRows(pending->Rows, show)) +
                          '\n');
   };
-  statement::Show bare{show.Subject, {}, {}};
-  StatementRequest asked = request;
-  asked.Statement = statementText(bare);
+  statement::Show unfiltered{show.Subject, {}, {}};
+  StatementRequest nodeStatement = request;
+  nodeStatement.Statement = statementText(unfiltered);
   for (const auto &node : Hooks.Nodes()) {
     if (node.Name == Self)
       continue;
     {
-      std::lock_guard lock(state->Mutex);
-      ++state->Left;
+      std::lock_guard lock(pending->Mutex);
+      ++pending->Remaining;
     }
-    Client.fetch(toNode(node, asked),
-                 [arrived, name = node.Name](const HttpResult &result,
-                                             const std::string &body) {
-                   arrived(name, result.Whole ? body : std::string());
+    Client.fetch(nodeRequest(node, nodeStatement),
+                 [onRows, name = node.Name](const HttpResult &result,
+                                            const std::string &body) {
+                   onRows(name, result.Whole ? body : std::string());
                  });
   }
-  arrived("", "");
+  onRows("", "");
 }
 
-HttpRequest AdminFront::toNode(const NodeRecord &node,
-                               const StatementRequest &request) const {
+HttpRequest AdminFront::nodeRequest(const NodeRecord &node,
+                                    const StatementRequest &request) const {
   HttpRequest out;
   out.Method = "POST";
   out.Url = "http://" + node.CallerAddress;
@@ -214,7 +215,7 @@
                          const StatementRequest &request,
                          const ReplyPtr &reply) {
   Client.fetch(
-      toNode(node, request),
+      nodeRequest(node, request),
       [reply, name = node.Name](const HttpResult &result, std::string body) {
         if (!result.Whole)
           return sendError(*reply, Unavailable,
@@ -224,9 +225,9 @@
       });
 }
 
-void AdminFront::run(const statement::Load &load,
-                     const StatementRequest &request, bool forwarded,
-                     const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Load &load,
+                         const StatementRequest &request, bool forwarded,
+                         const ReplyPtr &reply) {
   auto view = Config.inForce();
   auto replica = view->find<ReplicaConfig>(load.Replica);
   auto adapter = view->find<AdapterConfig>(load.Adapter.Name);
@@ -253,9 +254,9 @@
   forward(*owner, request, reply);
 }
 
-void AdminFront::run(const statement::Stop &stop,
-                     const StatementRequest &request, bool forwarded,
-                     const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Stop &stop,
+                         const StatementRequest &request, bool forwarded,
+                         const ReplyPtr &reply) {
   if (stop.Host == Self) {
     sendBody(*reply, Ok, admin_format::rowsBody(doneRow(request.Statement)));
     return Hooks.StopSelf();
@@ -267,8 +268,9 @@
   sendError(*reply, NotFound, "no live host " + stop.Host);
 }
 
-void AdminFront::run(const statement::Pin &pin, const StatementRequest &request,
-                     bool, const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Pin &pin,
+                         const StatementRequest &request, bool,
+                         const ReplyPtr &reply) {
   auto edit = [pin](const CatalogView &view)
       -> tl::expected<std::vector<ConfigChange>, std::string> {
     if (!view.find<AdapterConfig>(pin.Adapter.Name))
@@ -276,12 +278,12 @@
     PinConfig wanted{pin.Adapter, pin.FailureDomain, pin.Copies};
     return std::vector{ConfigChange{PinEntry{pinName(wanted), wanted}, false}};
   };
-  change(edit, request, ConflictTries, reply);
+  proposeEdit(edit, request, MaxConflictAttempts, reply);
 }
 
-void AdminFront::run(const statement::Unpin &unpin,
-                     const StatementRequest &request, bool,
-                     const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Unpin &unpin,
+                         const StatementRequest &request, bool,
+                         const ReplyPtr &reply) {
   auto edit = [unpin](const CatalogView &view)
       -> tl::expected<std::vector<ConfigChange>, std::string> {
     std::vector<ConfigChange> changes;
@@ -294,35 +296,35 @@
       return tl::unexpected("no such pin of " + unpin.Adapter.text());
     return changes;
   };
-  change(edit, request, ConflictTries, reply);
+  proposeEdit(edit, request, MaxConflictAttempts, reply);
 }
 
-void AdminFront::run(const statement::Drain &drain,
-                     const StatementRequest &request, bool,
-                     const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Drain &drain,
+                         const StatementRequest &request, bool,
+                         const ReplyPtr &reply) {
   auto edit = [drain](const CatalogView &view)
       -> tl::expected<std::vector<ConfigChange>, std::string> {
     if (!view.find<ReplicaConfig>(drain.Replica))
       return tl::unexpected("no replica " + drain.Replica);
     return std::vector{ConfigChange{DrainEntry{drain.Replica}, false}};
   };
-  change(edit, request, ConflictTries, reply);
+  proposeEdit(edit, request, MaxConflictAttempts, reply);
 }
 
-void AdminFront::run(const statement::Undrain &undrain,
-                     const StatementRequest &request, bool,
-                     const ReplyPtr &reply) {
+void AdminFront::execute(const statement::Undrain &undrain,
+                         const StatementRequest &request, bool,
+                         const ReplyPtr &reply) {
   auto edit = [undrain](const CatalogView &view)
       -> tl::expected<std::vector<ConfigChange>, std::string> {
     if (!view.find<DrainEntry>(undrain.Replica))
       return tl::unexpected(undrain.Replica + " is not draining");
     return std::vector{ConfigChange{DrainEntry{undrain.Replica}, true}};
   };
-  change(edit, request, ConflictTries, reply);
+  proposeEdit(edit, request, MaxConflictAttempts, reply);
 }
 
-void AdminFront::change(Edit edit, const StatementRequest &request, int tries,
-                        const ReplyPtr &reply) {
+void AdminFront::proposeEdit(Edit edit, const StatementRequest &request,
+                             int attemptsLeft, const ReplyPtr &reply) {
   auto view = Config.inForce();
   auto changes = edit(*view);
   if (!changes)
@@ -330,19 +332,20 @@
   ConfigProposal proposal{request.CommandId, request.Operator, view->number(),
                           std::move(*changes)};
   Config.propose(std::move(proposal), [this, edit = std::move(edit), request,
-                                       tries, reply](auto result) {
+                                       attemptsLeft, reply](auto result) {
     if (result)
       return sendBody(*reply, Ok,
                       admin_format::rowsBody(
                           {{"done", "revision"},
                            {{request.Statement,
                              static_cast<std::int64_t>(result->Number)}}}));
-    bool behind = result.error().Kind == ConfigErrorKind::Conflict;
-    if (behind && tries > 1) {
+    bool conflict = result.error().Kind == ConfigErrorKind::Conflict;
+    if (conflict && attemptsLeft > 1) {
       Config.round();
-      return Hooks.After(ConflictDelay, [this, edit, request, tries, reply] {
-        change(edit, request, tries - 1, reply);
-      });
+      return Hooks.After(ConflictDelay,
+                         [this, edit, request, attemptsLeft, reply] {
+                           proposeEdit(edit, request, attemptsLeft - 1, reply);
+                         });
     }
     sendError(*reply, statusOf(result.error().Kind), textOf(result.error()));
   });
@@ -364,12 +367,12 @@
   auto lines = diffCatalogs(view->catalog(), *wanted);
   if (proposal.Changes.empty())
     return sendBody(*reply, Ok, admin_format::changeBody({view->number(), {}}));
-  propose(std::move(proposal), std::move(lines), reply);
+  proposeChanges(std::move(proposal), std::move(lines), reply);
 }
 
-void AdminFront::propose(ConfigProposal proposal,
-                         std::vector<std::string> changes,
-                         const ReplyPtr &reply) {
+void AdminFront::proposeChanges(ConfigProposal proposal,
+                                std::vector<std::string> changes,
+                                const ReplyPtr &reply) {
   LOG(INFO) << "apply operator=" << proposal.Operator
             << " command=" << proposal.CommandId << " base=" << proposal.Base
             << " changes=" << proposal.Changes.size();
--- a/Programs/hemlockgladed/AdminFront.h
+++ b/Programs/hemlockgladed/AdminFront.h
@@ -5,31 +5,32 @@
 
 namespace hemlockglade {
 
-/// What the front for operators needs of its node.
+/// Callbacks through which AdminFront reaches its node.
 struct AdminFrontHooks {
-  /// Nodes that live, this one included.
+  /// Returns the live nodes, this one included.
   std::function<std::vector<NodeRecord>()> Nodes;
-  /// Who owns which cell, as this node sees it.
+  /// Returns the lease record of each cell, as this node knows it.
   std::function<std::map<std::string, CellRecord>()> CellRecords;
-  /// The node that owns a cell.
+  /// Returns the node that owns a cell; nothing if it is not known.
   std::function<std::optional<NodeRecord>(const std::string &cell)> OwnerOf;
+  /// Calls the function once after the delay.
   std::function<void(Span, std::function<void()>)> After;
-  /// Begins a graceful stop of this node.
+  /// Starts a graceful stop of this node.
   std::function<void()> StopSelf;
 };
 
-/// Serves the operators: statements, declarations, differences, export. A
-/// statement reaches any node; it asks or orders the others over their own
-/// fronts.
+/// Serves the HTTP endpoints for operators: statements, apply, diff and export.
+/// Any node accepts any statement; it collects rows from the other nodes, or
+/// forwards the statement to the node concerned, through their AdminFronts.
 class AdminFront {
 public:
   /// `self` is this node's name.
   AdminFront(std::string self, HttpClient &client, ConfigLink &config,
              OwnedCells &cells, AdminFrontHooks hooks);
 
-  /// Takes a request if it is an operator's; false if the path is none of
-  /// ours.
-  bool take(HttpIncoming &incoming, const std::shared_ptr<HttpReply> &reply);
+  /// Handles a request for an operator's path; returns false, without an
+  /// answer, for any other path.
+  bool handle(HttpIncoming &incoming, const std::shared_ptr<HttpReply> &reply);
 
 private:
   using ReplyPtr = std::shared_ptr<HttpReply>;
@@ -39,38 +40,47 @@
   void onDiff(const HttpIncoming &incoming, HttpReply &reply);
   void onExport(HttpReply &reply);
 
-  void run(const statement::Show &show, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
-  void run(const statement::Load &load, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
-  void run(const statement::Stop &stop, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
-  void run(const statement::Pin &pin, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
-  void run(const statement::Unpin &unpin, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
-  void run(const statement::Drain &drain, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
-  void run(const statement::Undrain &undrain, const StatementRequest &request,
-           bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Show &show, const StatementRequest &request,
+               bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Load &load, const StatementRequest &request,
+               bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Stop &stop, const StatementRequest &request,
+               bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Pin &pin, const StatementRequest &request,
+               bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Unpin &unpin, const StatementRequest &request,
+               bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Drain &drain, const StatementRequest &request,
+               bool forwarded, const ReplyPtr &reply);
+  void execute(const statement::Undrain &undrain,
+               const StatementRequest &request, bool forwarded,
+               const ReplyPtr &reply);
 
+  /// Returns the rows that this node has of the subject.
   RowSet localRows(ShowSubject subject) const;
   void addCells(RowSet &rows) const;
-  void gather(const statement::Show &show, const StatementRequest &request,
-              const ReplyPtr &reply);
-  HttpRequest toNode(const NodeRecord &node,
-                     const StatementRequest &request) const;
+  /// Answers with the rows of all live nodes. Nodes that don't answer are
+  /// listed in the field X-Missing-Nodes.
+  void gatherRows(const statement::Show &show, const StatementRequest &request,
+                  const ReplyPtr &reply);
+  /// Builds the request that forwards a statement to a node.
+  HttpRequest nodeRequest(const NodeRecord &node,
+                          const StatementRequest &request) const;
+  /// Sends the statement to a node and passes its answer on.
   void forward(const NodeRecord &node, const StatementRequest &request,
                const ReplyPtr &reply);
-  /// Commits changes that are worked out from the configuration in force; a
-  /// commit of another in between is worked in, a few times.
+  /// Computes the changes of a statement from the configuration in force, or
+  /// the reason why it can't be applied.
   using Edit =
       std::function<tl::expected<std::vector<ConfigChange>, std::string>(
           const CatalogView &)>;
-  void change(Edit edit, const StatementRequest &request, int tries,
-              const ReplyPtr &reply);
-  void propose(ConfigProposal proposal, std::vector<std::string> changes,
-               const ReplyPtr &reply);
+  /// Proposes the changes of `edit`. After a conflict with another command it
+  /// computes them again from the newer configuration, for up to
+  /// `attemptsLeft` proposals in all.
+  void proposeEdit(Edit edit, const StatementRequest &request, int attemptsLeft,
+                   const ReplyPtr &reply);
+  void proposeChanges(ConfigProposal proposal, std::vector<std::string> changes,
+                      const ReplyPtr &reply);
 
   std::string Self;
   HttpClient &Client;
--- a/Programs/hemlockgladed/Admission.cpp
+++ b/Programs/hemlockgladed/Admission.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr std::int64_t OwnerRetryUs = 1000000;
-/// An owner's own refusal at the deadline may be on its way for this long.
+/// How long past the deadline a refusal by the owner may still arrive.
 constexpr Span DeadlineGrace = std::chrono::milliseconds(100);
 
 AdmitReply refusal(std::string reason) {
@@ -15,14 +15,14 @@
   return reply;
 }
 
-/// An asker's side of the stream.
-struct Asked {
+/// The requesting node's side of the stream.
+struct OutgoingAdmission {
   std::shared_ptr<PendingAdmissions> Pending;
   std::mutex Mutex;
   Admission::OnReply Reply;
   PendingAdmissions::Ticket Ticket = 0;
 
-  Admission::OnReply take() {
+  Admission::OnReply takeReply() {
     std::lock_guard lock(Mutex);
     Pending->remove(Ticket);
     return std::exchange(Reply, nullptr);
@@ -34,18 +34,18 @@
                                                      : "owner-lost";
 }
 
-/// An owner's side of the stream.
-struct Served {
+/// The owner's side of the stream.
+struct IncomingAdmission {
   std::mutex Mutex;
   std::shared_ptr<CellRunner> Runner;
   RequestKey Key = 0;
-  bool Over = false;
+  bool Finished = false;
 
   void finish(Outcome outcome) {
     std::shared_ptr<CellRunner> runner;
     {
       std::lock_guard lock(Mutex);
-      Over = true;
+      Finished = true;
       runner = std::exchange(Runner, nullptr);
     }
     if (runner)
@@ -56,48 +56,48 @@
 } // namespace
 
 Admission::Admission(FindRunner findRunner, FindOwner findOwner)
-    : Runner(std::move(findRunner)), Owner(std::move(findOwner)) {}
+    : FindRunnerOf(std::move(findRunner)), FindOwnerOf(std::move(findOwner)) {}
 
-std::shared_ptr<AdmissionTicket> Admission::ask(const AdmitRequest &request,
-                                                OnReply reply) {
-  if (auto runner = Runner(request.Cell)) {
+std::shared_ptr<AdmissionTicket> Admission::admit(const AdmitRequest &request,
+                                                  OnReply reply) {
+  if (auto runner = FindRunnerOf(request.Cell)) {
     auto key = runner->admit(request, std::move(reply));
     return std::make_shared<AdmissionTicket>(
         [runner, key](Outcome outcome) { runner->finish(key, outcome); });
   }
-  if (auto owner = Owner(request.Cell))
-    return askPeer(*owner, request, std::move(reply));
+  if (auto owner = FindOwnerOf(request.Cell))
+    return requestFromPeer(*owner, request, std::move(reply));
   reply(refusal("no-owner"));
   return std::make_shared<AdmissionTicket>(nullptr);
 }
 
-std::shared_ptr<AdmissionTicket> Admission::askPeer(const NodeRecord &owner,
-                                                    const AdmitRequest &request,
-                                                    OnReply reply) {
-  auto asked = std::make_shared<Asked>();
-  asked->Pending = Pending;
-  asked->Reply = std::move(reply);
+std::shared_ptr<AdmissionTicket>
+Admission::requestFromPeer(const NodeRecord &owner, const AdmitRequest &request,
+                           OnReply reply) {
+  auto outgoing = std::make_shared<OutgoingAdmission>();
+  outgoing->Pending = Pending;
+  outgoing->Reply = std::move(reply);
   auto deadline =
       TimerService::now() + Span(request.DeadlineUs) + DeadlineGrace;
-  asked->Ticket = Pending->add(request.Cell, owner.PeerAddress, deadline,
-                               [asked](AdmissionFailure failure) {
-                                 if (auto call = asked->take())
-                                   call(refusal(reasonOf(failure)));
-                               });
+  outgoing->Ticket = Pending->add(request.Cell, owner.PeerAddress, deadline,
+                                  [outgoing](AdmissionFailure failure) {
+                                    if (auto call = outgoing->takeReply())
+                                      call(refusal(reasonOf(failure)));
+                                  });
   PeerHooks hooks;
-  hooks.OnMessage = [asked](std::string_view message) {
+  hooks.OnMessage = [outgoing](std::string_view message) {
     auto answer = unpack<AdmitReply>(message);
-    if (auto call = asked->take())
+    if (auto call = outgoing->takeReply())
       call(answer ? *answer : refusal("owner-malformed"));
   };
-  hooks.OnClosed = [asked](bool) {
-    if (auto call = asked->take())
+  hooks.OnClosed = [outgoing](bool) {
+    if (auto call = outgoing->takeReply())
       call(refusal("owner-lost"));
   };
   auto stream = Net->open(owner.PeerAddress, std::string(peer_path::Admit),
                           pack(request), std::move(hooks));
-  return std::make_shared<AdmissionTicket>([stream, asked](Outcome outcome) {
-    asked->take();
+  return std::make_shared<AdmissionTicket>([stream, outgoing](Outcome outcome) {
+    outgoing->takeReply();
     stream->send(pack(FinishNotice{static_cast<std::uint8_t>(outcome)}));
     stream->close();
   });
@@ -105,25 +105,25 @@
 
 void Admission::tick(Instant now) {
   Pending->tick(now, [this](const std::string &cell) {
-    auto owner = Owner(cell);
+    auto owner = FindOwnerOf(cell);
     return owner ? owner->PeerAddress : std::string();
   });
 }
 
 void Admission::serve(const std::shared_ptr<PeerStream> &stream) {
-  auto served = std::make_shared<Served>();
-  stream->OnMessage = [this, served,
+  auto incoming = std::make_shared<IncomingAdmission>();
+  stream->OnMessage = [this, incoming,
                        weak = std::weak_ptr(stream)](std::string_view message) {
     auto self = weak.lock();
     if (!self)
       return;
-    if (served->Runner) {
+    if (incoming->Runner) {
       auto notice = unpack<FinishNotice>(message);
-      return served->finish(notice ? static_cast<Outcome>(notice->Result)
-                                   : Outcome::Unknown);
+      return incoming->finish(notice ? static_cast<Outcome>(notice->Result)
+                                     : Outcome::Unknown);
     }
     auto request = unpack<AdmitRequest>(message);
-    auto runner = request ? Runner(request->Cell) : nullptr;
+    auto runner = request ? FindRunnerOf(request->Cell) : nullptr;
     if (!runner) {
       self->send(pack(refusal(request ? "not-owner" : "malformed")));
       return self->close();
@@ -132,11 +132,11 @@
       if (auto open = weak.lock())
         open->send(pack(reply));
     });
-    std::unique_lock lock(served->Mutex);
-    served->Key = key;
-    served->Runner = runner;
+    std::unique_lock lock(incoming->Mutex);
+    incoming->Key = key;
+    incoming->Runner = runner;
   };
-  stream->OnClosed = [served](bool) { served->finish(Outcome::Unknown); };
+  stream->OnClosed = [incoming](bool) { incoming->finish(Outcome::Unknown); };
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Admission.h
+++ b/Programs/hemlockgladed/Admission.h
@@ -4,8 +4,8 @@
 
 namespace hemlockglade {
 
-/// An admission that was asked for. Its release, at the latest by its
-/// destructor, gives the slot back.
+/// A requested admission. finish(), which the destructor calls at the latest,
+/// releases the slot or withdraws the request.
 class AdmissionTicket {
 public:
   explicit AdmissionTicket(std::function<void(Outcome)> release)
@@ -14,7 +14,7 @@
   AdmissionTicket(const AdmissionTicket &) = delete;
   AdmissionTicket &operator=(const AdmissionTicket &) = delete;
 
-  /// Says how the request ended. Only the first call counts.
+  /// Reports how the request ended. Only the first call has an effect.
   void finish(Outcome outcome) {
     if (auto call = std::exchange(Release, nullptr))
       call(outcome);
@@ -24,37 +24,41 @@
   std::function<void(Outcome)> Release;
 };
 
-/// Asks the owners of cells for admission, here or on other nodes, and
-/// answers other nodes' asking.
+/// Requests admission from the owners of cells, on this node or on others, and
+/// serves the admission requests of other nodes.
 class Admission {
 public:
   using OnReply = std::function<void(const AdmitReply &)>;
-  /// The runner of a cell that this node owns, if any.
+  /// Returns the runner of a cell that this node owns; null if it owns it not.
   using FindRunner =
       std::function<std::shared_ptr<CellRunner>(const std::string &cell)>;
-  /// The node that owns a cell, if known.
+  /// Returns the node that owns a cell, if known.
   using FindOwner =
       std::function<std::optional<NodeRecord>(const std::string &cell)>;
 
   Admission(FindRunner findRunner, FindOwner findOwner);
 
-  /// Gives the network, once there is one.
+  /// Sets the network; to be called before the first request to another node.
   void attach(PeerNet &net) { Net = &net; }
 
-  /// Asks the cell's owner. `reply` is called once, on any thread.
-  std::shared_ptr<AdmissionTicket> ask(const AdmitRequest &request,
-                                       OnReply reply);
-  /// Serves a stream that another node opened.
+  /// Requests admission from the cell's owner. `reply` is called at most once,
+  /// on any thread, and not after the ticket was finished.
+  std::shared_ptr<AdmissionTicket> admit(const AdmitRequest &request,
+                                         OnReply reply);
+  /// Serves a stream that another node opened: one request, then the notice
+  /// that it is finished. A closed stream finishes it too.
   void serve(const std::shared_ptr<PeerStream> &stream);
-  /// Waits no longer for owners that have lost their cell, nor past deadlines.
+  /// Refuses pending requests whose owner has lost the cell or whose deadline
+  /// has passed.
   void tick(Instant now);
 
 private:
-  std::shared_ptr<AdmissionTicket>
-  askPeer(const NodeRecord &owner, const AdmitRequest &request, OnReply reply);
+  std::shared_ptr<AdmissionTicket> requestFromPeer(const NodeRecord &owner,
+                                                   const AdmitRequest &request,
+                                                   OnReply reply);
 
-  FindRunner Runner;
-  FindOwner Owner;
+  FindRunner FindRunnerOf;
+  FindOwner FindOwnerOf;
   std::shared_ptr<PendingAdmissions> Pending =
       std::make_shared<PendingAdmissions>();
   PeerNet *Net = nullptr;
--- a/Programs/hemlockgladed/CallerFront.cpp
+++ b/Programs/hemlockgladed/CallerFront.cpp
@@ -19,25 +19,26 @@
 constexpr std::size_t IncarnationDigits = 8;
 constexpr std::size_t MaxIdBytes = 256;
 constexpr std::string_view LastEventId = "Last-Event-ID";
-constexpr std::array<std::string_view, 4> PassedFields{
+constexpr std::array<std::string_view, 4> ForwardedFields{
     "Content-Type", "Accept", LastEventId, header::IdempotencyKey};
 
-/// Methods that HTTP defines to have no effect when repeated.
+/// Whether HTTP defines the method as safe, so that a second attempt does no
+/// harm.
 bool isSafeMethod(std::string_view method) {
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-/// Reads a deadline in milliseconds, `most` if it is longer; nothing if it
+/// Reads a deadline in milliseconds, reduced to `max`; nothing if the text
 /// isn't a positive number.
 std::optional<Span> readDeadline(const std::string &text,
-                                 std::chrono::milliseconds most) {
+                                 std::chrono::milliseconds max) {
   std::int64_t ms = 0;
   const char *end = text.data() + text.size();
   auto [rest, ec] = std::from_chars(text.data(), end, ms);
   if (ec != std::errc() || rest != end || ms <= 0)
     return std::nullopt;
-  // Bounded before it becomes microseconds, which it may be too large for.
-  return std::min(std::chrono::milliseconds(ms), most);
+  // Bounded before the conversion to microseconds, which could overflow.
+  return std::min(std::chrono::milliseconds(ms), max);
 }
 
 } // namespace
@@ -46,13 +47,14 @@
     : Settings(std::move(settings)), Hooks(std::move(hooks)),
       Limit(std::make_shared<CallerLimit>(Settings.MaxPerCaller)) {}
 
-bool CallerFront::take(HttpIncoming &incoming,
-                       const std::shared_ptr<HttpReply> &reply) {
+bool CallerFront::handle(HttpIncoming &incoming,
+                         const std::shared_ptr<HttpReply> &reply) {
   const auto &path = incoming.Path;
-  bool ours = path == CompletionsPath || path == ChatPath ||
-              path == DirectoryPath || path.starts_with(ServicesPrefix);
-  if (ours && Hooks.InForce()->number() == 0 && !Hooks.CaughtUp()) {
-    // A node that has just started knows no services yet; others do.
+  bool isCallerPath = path == CompletionsPath || path == ChatPath ||
+                      path == DirectoryPath || path.starts_with(ServicesPrefix);
+  if (isCallerPath && Hooks.InForce()->number() == 0 && !Hooks.CaughtUp()) {
+    // A node that has just started has no configuration yet; the caller can
+    // retry at another node.
     answer::error(*reply, 503, "starting", "the node is starting");
     return true;
   }
@@ -72,7 +74,7 @@
 }
 
 std::string CallerFront::newRequestId() {
-  // The last part can't be guessed: who knows an id may go on with its stream.
+  // The last part is random, because whoever knows an id may resume its stream.
   thread_local std::random_device device;
   std::array<char, 17> buf{};
   std::snprintf(buf.data(), buf.size(), "%08x%08x", device(), device());
@@ -84,8 +86,8 @@
 bool CallerFront::prepare(const HttpIncoming &incoming,
                           const CatalogView &inForce, HttpReply &reply,
                           ExchangeRequest &request) {
-  request.CallerPlace = Limit->take(incoming.Remote);
-  if (!request.CallerPlace) {
+  request.CallerSlot = Limit->acquire(incoming.Remote);
+  if (!request.CallerSlot) {
     answer::error(reply, 429, "caller_limit",
                   "too many requests of this caller are running here");
     return false;
@@ -105,13 +107,13 @@
     return false;
   }
   if (auto field = incoming.field(header::Deadline)) {
-    auto asked = readDeadline(*field, Settings.MaxDeadline);
-    if (!asked) {
+    auto requested = readDeadline(*field, Settings.MaxDeadline);
+    if (!requested) {
       answer::error(reply, 400, "invalid_deadline",
                     "the deadline is not a positive number of milliseconds");
       return false;
     }
-    deadline = *asked;
+    deadline = *requested;
   }
   request.Deadline = TimerService::now() + deadline;
   request.IdempotencyKey = incoming.field(header::IdempotencyKey).value_or("");
@@ -119,7 +121,7 @@
     answer::error(reply, 400, "invalid_key", "the idempotency key is too long");
     return false;
   }
-  for (auto name : PassedFields) {
+  for (auto name : ForwardedFields) {
     if (auto value = incoming.field(name))
       request.Fields.emplace_back(name, *value);
   }
@@ -187,7 +189,8 @@
   request.Admit.ResumeOn = *replica;
   request.Resume = true;
   request.Repeatable = false;
-  // The key was claimed when the request was first sent.
+  // The key was claimed when the request was first sent, and a second claim
+  // would be refused.
   request.IdempotencyKey.clear();
   return true;
 }
--- a/Programs/hemlockgladed/CallerLimit.cpp
+++ b/Programs/hemlockgladed/CallerLimit.cpp
@@ -8,7 +8,7 @@
   return Shards[std::hash<std::string>{}(caller) % ShardCount];
 }
 
-CallerLimit::Place CallerLimit::take(const std::string &caller) {
+CallerLimit::Slot CallerLimit::acquire(const std::string &caller) {
   auto &shard = shardOf(caller);
   {
     std::lock_guard lock(shard.Mutex);
@@ -18,11 +18,11 @@
     ++n;
   }
   return {this, [self = shared_from_this(), caller](CallerLimit *limit) {
-            limit->giveBack(caller);
+            limit->release(caller);
           }};
 }
 
-void CallerLimit::giveBack(const std::string &caller) {
+void CallerLimit::release(const std::string &caller) {
   auto &shard = shardOf(caller);
   std::lock_guard lock(shard.Mutex);
   auto it = shard.Running.find(caller);
--- a/Programs/hemlockgladed/CallerLimit.h
+++ b/Programs/hemlockgladed/CallerLimit.h
@@ -9,16 +9,17 @@
 
 namespace hemlockglade {
 
-/// Counts the running requests of each caller and holds them under a limit.
+/// Limits the number of running requests of each caller. Thread-safe; callers
+/// are spread over shards to keep lock contention low.
 class CallerLimit : public std::enable_shared_from_this<CallerLimit> {
 public:
-  /// A place under the limit; it is free again when the last copy goes.
-  using Place = std::shared_ptr<void>;
+  /// One running request of a caller; released with its last copy.
+  using Slot = std::shared_ptr<void>;
 
   explicit CallerLimit(std::uint32_t limit);
 
-  /// Takes a place for the caller; null if all are taken.
-  Place take(const std::string &caller);
+  /// Acquires a slot for the caller; returns null if the limit is reached.
+  Slot acquire(const std::string &caller);
 
 private:
   static constexpr std::size_t ShardCount = 16;
@@ -28,7 +29,7 @@
   };
 
   Shard &shardOf(const std::string &caller);
-  void giveBack(const std::string &caller);
+  void release(const std::string &caller);
 
   std::uint32_t Limit;
   std::array<Shard, ShardCount> Shards;
--- a/Programs/hemlockgladed/CellRunner.cpp
+++ b/Programs/hemlockgladed/CellRunner.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// When to come back if the replica of a stream isn't known here.
+/// Retry-After of a resumed stream whose replica isn't known here.
 constexpr Span ResumeRetryAfter = std::chrono::seconds(1);
 
 std::int64_t toUs(Span span) { return span.count(); }
@@ -49,7 +49,7 @@
       answer.Reason = reasonName(Reason::NoReplica);
       answer.RetryAfterUs = toUs(ResumeRetryAfter);
     } else {
-      // It runs there already, so it is counted and not decided on.
+      // The request already runs there, so it is counted without a decision.
       answer.Granted = true;
       answer.Address = Replicas[it->second].Config.Address;
       handle(RequestAdopted{key, keyOf(request.Adapter), it->second}, deferred);
@@ -101,21 +101,21 @@
 }
 
 void CellRunner::finish(RequestKey request, Outcome outcome) {
-  ReplicaKey doubted = 0;
+  ReplicaKey suspect = 0;
   std::string address;
   {
     std::lock_guard lock(Mutex);
     auto it = Requests.find(request);
     if (it != Requests.end()) {
       if (outcome == Outcome::NotRun)
-        doubted = it->second.Replica;
-      address = Replicas[doubted].Config.Address;
+        suspect = it->second.Replica;
+      address = Replicas[suspect].Config.Address;
       Requests.erase(it);
     }
   }
-  drive(RequestFinished{request});
-  if (doubted)
-    askReport(doubted, address);
+  lockAndHandle(RequestFinished{request});
+  if (suspect)
+    requestReport(suspect, address);
 }
 
 void CellRunner::adopt(const RegisteredRequest &request) {
@@ -149,10 +149,10 @@
     key = it->second;
     Adopted.erase(it);
   }
-  drive(RequestFinished{key});
+  lockAndHandle(RequestFinished{key});
 }
 
-void CellRunner::stop() { drive(LeaseChanged{LeaseMode::None}); }
+void CellRunner::stop() { lockAndHandle(LeaseChanged{LeaseMode::None}); }
 
 void CellRunner::tick() {
   auto mode = Hooks.Mode();
@@ -169,53 +169,54 @@
     call();
 }
 
-void CellRunner::askReports() {
-  std::vector<std::pair<ReplicaKey, std::string>> asked;
+void CellRunner::requestReports() {
+  std::vector<std::pair<ReplicaKey, std::string>> requested;
   {
     std::lock_guard lock(Mutex);
     for (ReplicaKey it = 1; it < Replicas.size(); ++it) {
       if (!Replicas[it].Removed)
-        asked.emplace_back(it, Replicas[it].Config.Address);
+        requested.emplace_back(it, Replicas[it].Config.Address);
     }
   }
-  for (const auto &[key, address] : asked)
-    askReport(key, address);
+  for (const auto &[key, address] : requested)
+    requestReport(key, address);
 }
 
-void CellRunner::askReport(ReplicaKey replica, const std::string &address) {
-  // What a report says was so after it was asked for, perhaps well before it
-  // is heard.
-  auto asked = TimerService::now();
+void CellRunner::requestReport(ReplicaKey replica, const std::string &address) {
+  // The age of a report counts from when it was requested: its content may
+  // be older than its arrival by the whole round trip.
+  auto requested = TimerService::now();
   if (Plain)
     return Engines.probe(address, [weak = weak_from_this(), replica,
-                                   asked](bool alive) {
-      // A plain service has no report; being there is all it tells.
+                                   requested](bool alive) {
+      // A plain service has no report: an empty one stands for its being
+      // reachable.
       auto self = weak.lock();
       if (self)
-        self->takeReport(replica, asked,
-                         alive ? std::optional(EngineReport()) : std::nullopt);
+        self->onReport(replica, requested,
+                       alive ? std::optional(EngineReport()) : std::nullopt);
     });
   Engines.report(address,
-                 [weak = weak_from_this(), replica, asked](auto report) {
+                 [weak = weak_from_this(), replica, requested](auto report) {
                    if (auto self = weak.lock())
-                     self->takeReport(replica, asked, report);
+                     self->onReport(replica, requested, report);
                  });
 }
 
-void CellRunner::takeReport(ReplicaKey replica, Instant asked,
-                            const std::optional<EngineReport> &report) {
+void CellRunner::onReport(ReplicaKey replica, Instant requested,
+                          const std::optional<EngineReport> &report) {
   if (!report) {
     {
       std::lock_guard lock(Mutex);
       Replicas[replica].Silent = true;
     }
-    return drive(ReplicaSilent{replica});
+    return lockAndHandle(ReplicaSilent{replica});
   }
   ReplicaReport event;
   event.Replica = replica;
   event.Incarnation =
       XXH3_64bits(report->Incarnation.data(), report->Incarnation.size());
-  event.TakenAt = asked - std::chrono::milliseconds(report->AgeMs);
+  event.TakenAt = requested - std::chrono::milliseconds(report->AgeMs);
   event.Running = report->Running;
   {
     std::lock_guard lock(Mutex);
@@ -224,10 +225,10 @@
     Replicas[replica].Resident = event.Resident;
     Replicas[replica].Silent = false;
   }
-  drive(event);
+  lockAndHandle(event);
 }
 
-void CellRunner::drive(const Event &event) {
+void CellRunner::lockAndHandle(const Event &event) {
   Deferred deferred;
   {
     std::lock_guard lock(Mutex);
@@ -288,23 +289,24 @@
             << " reason=" << reasonName(action.Why)
             << " queue=" << Core.waiting() << " epoch=" << Fence
             << " cell=" << Cell;
-  deferred.push_back([self = shared_from_this(), action,
-                      address = replica.Address, adapter] {
-    auto ticket = self->Engines.load(
-        address, adapter, self->Fence, [self, action](OrderResult result) {
-          {
-            std::lock_guard lock(self->Mutex);
-            self->Loads.erase({action.Replica, action.Adapter});
-          }
-          if (result == OrderResult::Done)
-            return self->drive(
-                LoadDone{action.Replica, action.Adapter, action.Order});
-          self->drive(LoadFailed{action.Replica, action.Adapter, action.Order,
-                                 result == OrderResult::Unknown});
-        });
-    std::lock_guard lock(self->Mutex);
-    self->Loads[{action.Replica, action.Adapter}] = ticket;
-  });
+  deferred.push_back(
+      [self = shared_from_this(), action, address = replica.Address, adapter] {
+        auto ticket = self->Engines.load(
+            address, adapter, self->Fence, [self, action](OrderResult result) {
+              {
+                std::lock_guard lock(self->Mutex);
+                self->Loads.erase({action.Replica, action.Adapter});
+              }
+              if (result == OrderResult::Done)
+                return self->lockAndHandle(
+                    LoadDone{action.Replica, action.Adapter, action.Order});
+              self->lockAndHandle(LoadFailed{action.Replica, action.Adapter,
+                                             action.Order,
+                                             result == OrderResult::Unknown});
+            });
+        std::lock_guard lock(self->Mutex);
+        self->Loads[{action.Replica, action.Adapter}] = ticket;
+      });
 }
 
 void CellRunner::apply(const Evict &action, Deferred &deferred) {
@@ -316,16 +318,17 @@
             << " cell=" << Cell;
   deferred.push_back(
       [self = shared_from_this(), action, address = replica.Address, adapter] {
-        // The lease is looked at again right before the order leaves.
+        // The lease may have lapsed since the decision, so it is checked again
+        // right before the order is sent.
         if (!self->Hooks.Holds())
-          return self->drive(
+          return self->lockAndHandle(
               EvictDone{action.Replica, action.Adapter, true, action.Order});
         self->Engines.unload(
             address, adapter, self->Fence, [self, action](OrderResult result) {
               bool unknown = result == OrderResult::Unknown;
               bool refused = result != OrderResult::Done && !unknown;
-              self->drive(EvictDone{action.Replica, action.Adapter, refused,
-                                    action.Order, unknown});
+              self->lockAndHandle(EvictDone{action.Replica, action.Adapter,
+                                            refused, action.Order, unknown});
             });
       });
 }
--- a/Programs/hemlockgladed/CellRunner.h
+++ b/Programs/hemlockgladed/CellRunner.h
@@ -6,20 +6,22 @@
 
 namespace hemlockglade {
 
-/// What a runner needs of its node.
+/// Callbacks through which a CellRunner reaches its node.
 struct CellRunnerHooks {
-  /// Whether the lease allows orders that only an owner may give.
+  /// Whether the lease allows the orders that only an owner may give. Read
+  /// again right before each eviction is sent.
   std::function<bool()> Holds;
-  /// How far the lease may be trusted.
+  /// Returns the mode of the lease: what the cell may do under it.
   std::function<LeaseMode()> Mode;
-  /// Runs a call soon, on no lock of the caller's.
+  /// Runs a function asynchronously, outside all locks of the caller.
   std::function<void(std::function<void()>)> Post;
-  /// Rate of the weight store for the whole deployment.
+  /// Loads per second that the weight store allows the whole deployment.
   double LoadsPerSecond = 3.0;
 };
 
-/// Drives the decision core of one owned cell: turns what happens into events
-/// and carries out the core's actions. One lock guards one cell.
+/// Runs the decision core of one owned cell: turns requests, reports and
+/// configuration into events and carries out the core's actions. Thread-safe;
+/// one mutex guards the whole cell.
 class CellRunner : public std::enable_shared_from_this<CellRunner> {
 public:
   using OnReply = std::function<void(const AdmitReply &)>;
@@ -30,29 +32,33 @@
   const std::string &cell() const { return Cell; }
   Epoch fence() const { return Fence; }
 
-  /// Takes over what the configuration says about the cell.
+  /// Applies the parts of the configuration that concern the cell.
   void configure(const CatalogView &view);
-  /// Asks for a slot; `reply` is called once.
+  /// Requests a slot. `reply` is called at most once, and not after finish().
   RequestKey admit(const AdmitRequest &request, OnReply reply);
-  /// The request is over; its slot is free. One that was admitted and then
-  /// not run hints that the replica isn't as we believe it is.
+  /// Releases the slot of a request that has ended. If it was admitted but not
+  /// run, the known state of its replica may be outdated, so a report is
+  /// requested from it.
   void finish(RequestKey request, Outcome outcome);
   /// Counts a request that an earlier owner admitted and that still runs.
   void adopt(const RegisteredRequest &request);
-  /// An adopted request is over.
+  /// Releases the slot of an adopted request that has ended.
   void finishAdopted(const std::string &id);
-  /// Marks replicas that the platform's list calls leaving.
+  /// Sets the replicas that the platform lists as leaving; they get no new
+  /// work.
   void setLeaving(const std::vector<std::string> &replicas);
-  /// An operator wants an adapter on a replica; false if it isn't ours.
+  /// Loads an adapter on a replica by an operator's order. Returns false if the
+  /// replica doesn't belong to the cell.
   bool orderLoad(const std::string &adapter, const std::string &replica);
-  /// Gives up the cell: what waits is refused.
+  /// Stops serving the cell: refuses the waiting requests.
   void stop();
-  /// To be called often; deadlines and loads depend on it.
+  /// To be called every few tens of milliseconds; expires deadlines and starts
+  /// loads.
   void tick();
-  /// Asks all engines for their reports.
-  void askReports();
+  /// Requests the reports of all replicas.
+  void requestReports();
 
-  /// Adds what this cell knows of the subject; `node` is this node's name.
+  /// Adds this cell's rows of the subject. `node` is this node's name.
   void addRows(ShowSubject subject, const std::string &node,
                RowSet &rows) const;
   /// Adds the number of waiting requests of each class.
@@ -68,14 +74,15 @@
     /// Whether it publishes load reports; plain services don't.
     bool Reports = true;
     bool Removed = false;
-    /// The platform's list calls it leaving.
+    /// Listed by the platform as leaving.
     bool Leaving = false;
-    /// The operators are draining it.
+    /// Drained by an operator.
     bool Drained = false;
-    /// What the core was last told.
+    /// Draining state last sent to the core.
     bool Draining = false;
-    /// It did not answer when it was last asked for a report.
+    /// The last request for its report got no answer.
     bool Silent = false;
+    /// Resident adapters by its last report.
     std::vector<ResidentAdapter> Resident;
   };
   struct Pending {
@@ -85,22 +92,24 @@
     std::string Class;
     Instant Since{};
     OnReply Reply;
-    /// Where it was admitted to; 0 while it waits.
+    /// Replica that it was admitted to; 0 while it waits.
     ReplicaKey Replica = 0;
   };
-  /// What is to be done once the lock is free.
+  /// Calls to be made after the mutex is released.
   using Deferred = std::vector<std::function<void()>>;
 
+  /// Passes an event to the core and applies its actions. The mutex is held.
   void handle(const Event &event, Deferred &deferred);
   void apply(const Admit &action, Deferred &deferred);
   void apply(const Refuse &action, Deferred &deferred);
   void apply(const Load &action, Deferred &deferred);
   void apply(const Evict &action, Deferred &deferred);
   void apply(const CancelLoad &action, Deferred &deferred);
-  void drive(const Event &event);
-  void askReport(ReplicaKey replica, const std::string &address);
-  void takeReport(ReplicaKey replica, Instant asked,
-                  const std::optional<EngineReport> &report);
+  /// Locks the mutex and handles an event.
+  void lockAndHandle(const Event &event);
+  void requestReport(ReplicaKey replica, const std::string &address);
+  void onReport(ReplicaKey replica, Instant requested,
+                const std::optional<EngineReport> &report);
   void addLoaded(RowSet &rows) const;
   void addWaiting(RowSet &rows) const;
   void addRunning(RowSet &rows) const;
@@ -120,7 +129,7 @@
   EngineClient &Engines;
   CellRunnerHooks Hooks;
 
-  /// The cell is one of a plain service.
+  /// Whether the cell belongs to a plain service.
   std::atomic<bool> Plain{false};
 
   mutable std::mutex Mutex;
@@ -135,9 +144,10 @@
   std::vector<ReplicaState> Replicas;
   std::map<std::string, ServiceClass> Classes;
   std::vector<PlacementRule> Rules;
-  /// Failure domains last told for adapters that a rule matches.
-  std::map<AdapterKey, std::vector<DomainKey>> RulesTold;
-  std::map<std::pair<AdapterKey, DomainKey>, std::uint32_t> PinsTold;
+  /// Failure domains last sent to the core, by adapter that a rule matches.
+  std::map<AdapterKey, std::vector<DomainKey>> SentRules;
+  /// Pinned copies last sent to the core.
+  std::map<std::pair<AdapterKey, DomainKey>, std::uint32_t> SentPins;
   std::unordered_map<RequestKey, Pending> Requests;
   std::unordered_map<std::string, RequestKey> Adopted;
   std::map<std::pair<ReplicaKey, AdapterKey>, HttpClient::Ticket> Loads;
--- a/Programs/hemlockgladed/CellRunnerConfig.cpp
+++ b/Programs/hemlockgladed/CellRunnerConfig.cpp
@@ -1,4 +1,4 @@
-// What a cell's runner does when the configuration changes.
+// The part of CellRunner that applies the configuration.
 
 #include "CellRunner.h"
 
@@ -10,21 +10,23 @@
 
 constexpr double Percent = 100;
 
-/// Loads that this cell may start, without a holder of the load turn: each
-/// engine cell of the deployment has the same share of the weight store.
-LoadLimitChanged shareOfLoads(const CatalogView &view, double loadsPerSecond) {
+/// Returns the load limit of one cell. Loads aren't coordinated between cells:
+/// each engine cell of the deployment gets an equal share of the weight store.
+LoadLimitChanged loadLimitPerCell(const CatalogView &view,
+                                  double loadsPerSecond) {
   std::uint32_t cells = 0;
   view.all<ServiceConfig>().forEach([&cells](const ServiceConfig &service) {
     if (service.Kind == ServiceKind::Engine)
       cells += service.Cells;
   });
-  LoadLimitChanged turn;
-  turn.LoadsPerSecond = loadsPerSecond / std::max(cells, 1U);
-  return turn;
+  LoadLimitChanged limit;
+  limit.LoadsPerSecond = loadsPerSecond / std::max(cells, 1U);
+  return limit;
 }
 
-/// Whether a rule's adapter, a name or a prefix with `*`, covers a name.
-bool covers(const PlacementRule &rule, std::string_view name) {
+/// Whether a rule's adapter pattern, a name or a prefix followed by `*`,
+/// matches a name.
+bool matches(const PlacementRule &rule, std::string_view name) {
   std::string_view pattern = rule.Adapter;
   if (!pattern.ends_with('*'))
     return pattern == name;
@@ -45,7 +47,7 @@
     Plain = service && service->Kind == ServiceKind::Plain;
     if (service)
       handle(ObjectiveChanged{service->ObjectivePercent / Percent}, deferred);
-    handle(shareOfLoads(view, Hooks.LoadsPerSecond), deferred);
+    handle(loadLimitPerCell(view, Hooks.LoadsPerSecond), deferred);
     configureReplicas(view, deferred);
     configureRules(view, deferred);
     configurePins(view, deferred);
@@ -56,7 +58,7 @@
 
 void CellRunner::configureReplicas(const CatalogView &view,
                                    Deferred &deferred) {
-  // A replica may be declared still, but for another cell.
+  // A replica that is still declared may belong to another cell now.
   std::set<ReplicaKey> present;
   view.all<ReplicaConfig>().forEach([&](const ReplicaConfig &config) {
     auto service = view.find<ServiceConfig>(config.Service);
@@ -83,7 +85,7 @@
     if (present.contains(key) || replica.Removed)
       continue;
     replica.Removed = true;
-    // The core forgets it with the replica.
+    // The core drops the draining state together with the replica.
     replica.Draining = false;
     handle(ReplicaRemoved{key}, deferred);
   }
@@ -113,7 +115,7 @@
 }
 
 void CellRunner::configurePins(const CatalogView &view, Deferred &deferred) {
-  decltype(PinsTold) wanted;
+  decltype(SentPins) wanted;
   view.all<PinEntry>().forEach([&](const PinEntry &it) {
     auto adapter = view.find<AdapterConfig>(it.Pin.Adapter.Name);
     auto service =
@@ -126,20 +128,21 @@
         it.Pin.Copies;
   });
   for (const auto &[pin, copies] : wanted) {
-    auto it = PinsTold.find(pin);
-    if (it == PinsTold.end() || it->second != copies)
+    auto it = SentPins.find(pin);
+    if (it == SentPins.end() || it->second != copies)
       handle(PinChanged{pin.first, pin.second, copies}, deferred);
   }
-  for (const auto &[pin, copies] : PinsTold) {
+  for (const auto &[pin, copies] : SentPins) {
     if (!wanted.contains(pin))
       handle(PinChanged{pin.first, pin.second, 0}, deferred);
   }
-  PinsTold = std::move(wanted);
+  SentPins = std::move(wanted);
 }
 
 void CellRunner::configureRules(const CatalogView &view, Deferred &deferred) {
   Rules.clear();
-  // Rules are named by their position; the first that covers an adapter counts.
+  // Rules are named by their position; the first that matches an adapter
+  // applies.
   std::map<std::string, PlacementRule> ordered;
   view.all<RuleEntry>().forEach(
       [&](const RuleEntry &it) { ordered.emplace(it.Name, it.Rule); });
@@ -150,24 +153,24 @@
 }
 
 void CellRunner::applyRule(AdapterKey adapter, Deferred &deferred) {
-  auto told = RulesTold.find(adapter);
-  if (adapter == NoAdapter || (Rules.empty() && told == RulesTold.end()))
+  auto sent = SentRules.find(adapter);
+  if (adapter == NoAdapter || (Rules.empty() && sent == SentRules.end()))
     return;
   const auto &text = AdapterNames[adapter];
   auto name = std::string_view(text).substr(0, text.rfind('@'));
   RuleChanged event;
   event.Adapter = adapter;
   for (const auto &rule : Rules) {
-    if (!covers(rule, name))
+    if (!matches(rule, name))
       continue;
     for (const auto &domain : rule.FailureDomains)
       event.Domains.push_back(domainOf(domain));
     break;
   }
-  if (told == RulesTold.end() ? event.Domains.empty()
-                              : told->second == event.Domains)
+  if (sent == SentRules.end() ? event.Domains.empty()
+                              : sent->second == event.Domains)
     return;
-  RulesTold[adapter] = event.Domains;
+  SentRules[adapter] = event.Domains;
   handle(event, deferred);
 }
 
--- a/Programs/hemlockgladed/CellRunnerRows.cpp
+++ b/Programs/hemlockgladed/CellRunnerRows.cpp
@@ -1,4 +1,4 @@
-// What a cell's runner tells operators.
+// The part of CellRunner that returns rows and figures for operators.
 
 #include "CellRunner.h"
 
@@ -10,7 +10,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
-std::int64_t whole(std::size_t n) { return static_cast<std::int64_t>(n); }
+std::int64_t toInt(std::size_t n) { return static_cast<std::int64_t>(n); }
 
 } // namespace
 
@@ -38,7 +38,7 @@
     for (const auto &it : replica.Resident)
       rows.Rows.push_back({Cell, replica.Config.Name,
                            replica.Config.FailureDomain,
-                           AdapterNames[it.Adapter], whole(it.Running)});
+                           AdapterNames[it.Adapter], toInt(it.Running)});
   }
 }
 
@@ -57,7 +57,7 @@
   }
   auto now = TimerService::now();
   for (const auto &[name, group] : groups)
-    rows.Rows.push_back({Cell, name.first, name.second, whole(group.Waiting),
+    rows.Rows.push_back({Cell, name.first, name.second, toInt(group.Waiting),
                          toMs(now - group.Oldest)});
 }
 
@@ -68,7 +68,7 @@
       ++groups[{Replicas[it.Replica].Config.Name, it.Adapter}];
   }
   for (const auto &[name, n] : groups)
-    rows.Rows.push_back({Cell, name.first, name.second, whole(n)});
+    rows.Rows.push_back({Cell, name.first, name.second, toInt(n)});
 }
 
 void CellRunner::addReplicas(RowSet &rows) const {
@@ -86,15 +86,15 @@
     const auto &config = replica.Config;
     rows.Rows.push_back({config.Name, config.Service, Cell,
                          config.FailureDomain, config.Address,
-                         whole(config.Slots), whole(config.Batch), state,
-                         whole(running[it])});
+                         toInt(config.Slots), toInt(config.Batch), state,
+                         toInt(running[it])});
   }
 }
 
 void CellRunner::addRequests(const std::string &node, RowSet &rows) const {
   auto now = TimerService::now();
   for (const auto &[key, it] : Requests)
-    rows.Rows.push_back({it.Id, whole(it.Attempt), node, it.Adapter,
+    rows.Rows.push_back({it.Id, toInt(it.Attempt), node, it.Adapter,
                          Replicas[it.Replica].Config.Name, it.Class,
                          std::string(it.Replica ? "running" : "waiting"),
                          toMs(now - it.Since)});
--- a/Programs/hemlockgladed/ConfigLink.cpp
+++ b/Programs/hemlockgladed/ConfigLink.cpp
@@ -1,6 +1,6 @@
 #include "ConfigLink.h"
 
-#include "PeerAsk.h"
+#include "PeerRequest.h"
 
 #include <easylogging++.h>
 
@@ -14,10 +14,10 @@
 
 ConfigLink::ConfigLink(PlatformClient &platform, const ConfigSettings &settings,
                        ConfigLinkHooks hooks)
-    : Hooks(std::move(hooks)), Keeper(std::make_shared<ConfigReplicator>(
-                                   settings, keeperHooks(platform))) {}
+    : Hooks(std::move(hooks)), Replicator(std::make_shared<ConfigReplicator>(
+                                   settings, replicatorHooks(platform))) {}
 
-ConfigHooks ConfigLink::keeperHooks(PlatformClient &platform) {
+ConfigHooks ConfigLink::replicatorHooks(PlatformClient &platform) {
   ConfigHooks hooks;
   hooks.Now = &TimerService::now;
   hooks.After = Hooks.After;
@@ -39,8 +39,8 @@
                          OnAnswer done) {
     if (!Net)
       return done(std::nullopt);
-    askPeer<ConfigAnswer>(*Net, address, peer_path::Config, fetch,
-                          std::move(done));
+    requestPeer<ConfigAnswer>(*Net, address, peer_path::Config, fetch,
+                              std::move(done));
   };
   hooks.OnInForce = [this](const std::shared_ptr<const CatalogView> &view) {
     LOG(INFO) << "config revision=" << view->number() << " in-force";
@@ -50,20 +50,20 @@
 }
 
 void ConfigLink::serve(const std::shared_ptr<PeerStream> &stream) {
-  answerPeer<ConfigFetch, ConfigAnswer>(
-      stream, [keeper = Keeper](const ConfigFetch &fetch, auto reply) {
-        reply(keeper->answer(fetch));
+  servePeer<ConfigFetch, ConfigAnswer>(
+      stream, [replicator = Replicator](const ConfigFetch &fetch, auto reply) {
+        reply(replicator->answer(fetch));
       });
 }
 
-void ConfigLink::round() { Keeper->round(); }
+void ConfigLink::round() { Replicator->round(); }
 
 void ConfigLink::learn(Revision number, const std::string &address) {
-  Keeper->learn(number, address);
+  Replicator->learn(number, address);
 }
 
 void ConfigLink::propose(ConfigProposal proposal, ConfigCallback done) {
-  Keeper->propose(std::move(proposal), std::move(done));
+  Replicator->propose(std::move(proposal), std::move(done));
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/ConfigLink.h
+++ b/Programs/hemlockgladed/ConfigLink.h
@@ -6,46 +6,49 @@
 
 namespace hemlockglade {
 
-/// What the configuration's link needs of its node.
+/// Callbacks through which ConfigLink reaches its node.
 struct ConfigLinkHooks {
-  /// Peer address of a live node, another one now and then; nothing if alone.
+  /// Returns the peer address of a live node, not always the same one; nothing
+  /// if there is no other.
   std::function<std::optional<std::string>()> AnyPeer;
+  /// Calls the function once after the delay.
   std::function<void(Span, std::function<void()>)> After;
-  /// A higher revision is in force.
+  /// Called when a higher revision is in force.
   std::function<void(const CatalogView &)> OnInForce;
 };
 
-/// Connects the configuration's keeper to the platform and to other nodes.
+/// Connects the ConfigReplicator to the platform's table and objects and to the
+/// other nodes.
 class ConfigLink {
 public:
   ConfigLink(PlatformClient &platform, const ConfigSettings &settings,
              ConfigLinkHooks hooks);
 
-  /// Gives the network, once there is one.
+  /// Sets the network; without one no other node is asked.
   void attach(PeerNet &net) { Net = &net; }
 
   /// To be called about once a second.
   void round();
-  /// The node at that peer address has this revision in force.
+  /// Called when the node at that peer address has this revision in force.
   void learn(Revision number, const std::string &address);
-  /// Takes changes to the table; see ConfigReplicator.
+  /// Commits changes to the table; see ConfigReplicator.
   void propose(ConfigProposal proposal, ConfigCallback done);
-  /// Answers another node's stream.
+  /// Serves another node's stream.
   void serve(const std::shared_ptr<PeerStream> &stream);
 
   /// The configuration in force.
   std::shared_ptr<const CatalogView> inForce() const {
-    return Keeper->current();
+    return Replicator->current();
   }
-  /// Whether all revisions that were heard of are in force here.
-  bool caughtUp() const { return Keeper->caughtUp(); }
+  /// Whether the newest revision known to this node is in force here.
+  bool caughtUp() const { return Replicator->caughtUp(); }
 
 private:
-  ConfigHooks keeperHooks(PlatformClient &platform);
+  ConfigHooks replicatorHooks(PlatformClient &platform);
 
   ConfigLinkHooks Hooks;
   PeerNet *Net = nullptr;
-  std::shared_ptr<ConfigReplicator> Keeper;
+  std::shared_ptr<ConfigReplicator> Replicator;
 };
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Exchange.cpp
+++ b/Programs/hemlockgladed/Exchange.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// Bytes that may be on their way to a slow caller before the endpoint is
-/// made to wait.
+/// Unsent bytes above which the transfer from the endpoint is paused until a
+/// slow caller has received half of them.
 constexpr std::size_t UnsentLimit = std::size_t{256} * 1024;
-/// An answer up to this size is sent whole, with its outcome in the header.
+/// An answer up to this size, in bytes, is sent whole, with its outcome in the
+/// header.
 constexpr std::size_t WholeLimit = std::size_t{256} * 1024;
-/// Time between two askings while a cell has no owner that answers.
+/// Delay between two admission requests while a cell has no owner that answers.
 constexpr Span OwnerRetryInterval = std::chrono::milliseconds(100);
-/// How long past the deadline an owner's own refusal is waited for.
+/// How long past the deadline a refusal by the owner is waited for.
 constexpr Span OwnerGrace = std::chrono::milliseconds(100);
-/// When to come back if the table can't be asked.
+/// Retry-After while the table doesn't answer.
 constexpr Span StoreRetryAfter = std::chrono::seconds(5);
 constexpr int FirstError = 400;
 constexpr int Conflict = 409;
@@ -30,14 +31,15 @@
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-/// Whether an engine that answers so has refused before running.
+/// Whether an engine that answers with this status has refused the request
+/// before running it.
 bool isEngineRefusal(int status) {
   constexpr std::array Refusals{400, 404, 405, 409, 413, 422, 429, 503};
   return std::find(Refusals.begin(), Refusals.end(), status) != Refusals.end();
 }
 
-/// Whether the refusal says only that the cell is changing hands.
-bool isOwnerless(std::string_view reason) {
+/// Whether the reason of a refusal is a change of the cell's owner.
+bool isOwnerChange(std::string_view reason) {
   return reason == "no-owner" || reason == "not-owner" ||
          reason == "owner-lost";
 }
@@ -58,12 +60,12 @@
 void Exchange::start() {
   Reply->onGone([weak = weak_from_this()] {
     if (auto self = weak.lock())
-      self->onGone();
+      self->onCallerDisconnected();
   });
-  ask();
+  requestAdmission();
 }
 
-void Exchange::ask() {
+void Exchange::requestAdmission() {
   std::uint32_t round = 0;
   AdmitRequest admit;
   {
@@ -74,12 +76,12 @@
     if (left <= Span{})
       return refuse("deadline-passed", OwnerRetryInterval);
     round = ++Round;
-    Waiting = true;
+    AwaitingAdmission = true;
     Request.Admit.DeadlineUs = left.count();
     admit = Request.Admit;
   }
-  // Asked without the lock: the answer may come from inside the call.
-  auto ticket = Hooks->Ask(
+  // Called without the lock, because the answer may come from inside the call.
+  auto ticket = Hooks->RequestAdmission(
       admit, [self = shared_from_this(), round](const AdmitReply &reply) {
         self->onAdmitted(round, reply);
       });
@@ -87,45 +89,45 @@
   if (Ended || round != Round)
     return ticket->finish(Outcome::NotRun);
   Ticket = std::move(ticket);
-  if (!Waiting)
+  if (!AwaitingAdmission)
     return;
   Hooks->After(Span(admit.DeadlineUs) + OwnerGrace,
                [weak = weak_from_this(), round] {
                  if (auto self = weak.lock())
-                   self->onLate(round);
+                   self->onDeadline(round);
                });
 }
 
-void Exchange::onLate(std::uint32_t round) {
+void Exchange::onDeadline(std::uint32_t round) {
   std::lock_guard lock(Mutex);
-  if (Ended || round != Round || !Waiting)
+  if (Ended || round != Round || !AwaitingAdmission)
     return;
   refuse("deadline-passed", OwnerRetryInterval);
 }
 
-void Exchange::askAgain() {
-  // A new round makes the answer to the last one late, whatever it says.
+void Exchange::retryAdmission() {
+  // The new round number makes a late answer to the last request ignored.
   ++Round;
-  giveBack(Outcome::NotRun);
-  // Nothing else keeps the exchange until it asks again.
+  releaseSlot(Outcome::NotRun);
+  // The timer holds the only reference to the exchange until it runs.
   Hooks->After(OwnerRetryInterval,
-               [self = shared_from_this()] { self->ask(); });
+               [self = shared_from_this()] { self->requestAdmission(); });
 }
 
 void Exchange::onAdmitted(std::uint32_t round, const AdmitReply &reply) {
   std::lock_guard lock(Mutex);
   if (Ended || round != Round)
     return;
-  Waiting = false;
+  AwaitingAdmission = false;
   if (!reply.Granted) {
-    if (isOwnerless(reply.Reason))
-      return askAgain();
+    if (isOwnerChange(reply.Reason))
+      return retryAdmission();
     return refuse(reply.Reason, Span(reply.RetryAfterUs));
   }
   Grant = reply;
   Registered = Hooks->Register(record());
   if (!Registered)
-    return askAgain();
+    return retryAdmission();
   if (Request.IdempotencyKey.empty() || Claimed)
     return send();
   claim();
@@ -142,7 +144,8 @@
   Claimed = answer.Result == ClaimResult::Claimed;
   Claim = answer.Ticket;
   if (Ended) {
-    // The caller left meanwhile: nothing was sent, and the key says so.
+    // The caller disconnected meanwhile; nothing was sent, and the outcome of
+    // the key is stored as such.
     if (Claimed)
       Hooks->RecordOutcome(Claim, Outcome::NotRun);
     return;
@@ -155,11 +158,11 @@
   case ClaimResult::OtherBody:
   case ClaimResult::Taken:
   case ClaimResult::Ambiguous:
-    return refuseTaken(answer);
+    return refuseClaim(answer);
   }
 }
 
-void Exchange::refuseTaken(const ClaimAnswer &answer) {
+void Exchange::refuseClaim(const ClaimAnswer &answer) {
   bool mismatch = answer.Result == ClaimResult::OtherBody;
   bool taken = answer.Result == ClaimResult::Taken;
   auto outcome = mismatch ? Outcome::NotRun
@@ -204,10 +207,10 @@
   std::lock_guard lock(Mutex);
   Status = status;
   EndpointFields = fields;
-  Foreign = false;
+  IdMismatch = false;
   for (const auto &[name, value] : fields) {
     if (sameName(name, header::RequestId) && value != Request.Id)
-      Foreign = true;
+      IdMismatch = true;
   }
 }
 
@@ -232,8 +235,8 @@
 
 bool Exchange::onPart(std::string_view part) {
   std::lock_guard lock(Mutex);
-  // An answer that is marked as another request's is never passed on.
-  if (Ended || Foreign)
+  // An answer with the id of another request is never forwarded.
+  if (Ended || IdMismatch)
     return true;
   if (Unsent > UnsentLimit) {
     Paused = true;
@@ -243,29 +246,29 @@
     ToFirstByte = TimerService::now() - Arrived;
   if (Request.Stream && Status < FirstError)
     part = Events.take(part);
-  else if (!Streaming && Held.size() + part.size() <= WholeLimit) {
-    Held.append(part);
+  else if (!Streaming && Buffered.size() + part.size() <= WholeLimit) {
+    Buffered.append(part);
     return true;
   }
   if (!part.empty())
-    pass(part);
+    forward(part);
   return true;
 }
 
-void Exchange::pass(std::string_view part) {
+void Exchange::forward(std::string_view part) {
   if (!Streaming)
     startStream();
-  Held.append(part);
-  auto n = Held.size();
+  Buffered.append(part);
+  auto n = Buffered.size();
   Unsent += n;
   Reply->sendPart(
-      std::exchange(Held, {}),
+      std::exchange(Buffered, {}),
       [self = shared_from_this(), n](bool ok) { self->onSent(n, ok); });
 }
 
 void Exchange::onSent(std::size_t n, bool ok) {
   if (!ok)
-    return onGone();
+    return onCallerDisconnected();
   std::lock_guard lock(Mutex);
   Unsent -= n;
   if (Paused && Unsent <= UnsentLimit / 2) {
@@ -278,17 +281,17 @@
   std::lock_guard lock(Mutex);
   if (Ended)
     return;
-  auto outcome = ended(result);
-  if (outcome != Outcome::Complete && tryAgain(outcome))
+  auto outcome = attemptOutcome(result);
+  if (outcome != Outcome::Complete && retry(outcome))
     return;
-  outcome = outcomeAfter(Prior, outcome);
-  answer(outcome, result);
+  outcome = outcomeAfter(PriorOutcome, outcome);
+  sendAnswer(outcome, result);
   end(outcome, result.Whole ? "" : "endpoint-failed");
 }
 
-Outcome Exchange::ended(const HttpResult &result) const {
-  // An engine that can't go on with a stream may still have run it.
-  if (Foreign || (Request.Resume && Status >= FirstError))
+Outcome Exchange::attemptOutcome(const HttpResult &result) const {
+  // An engine that can't resume a stream may still have run the request.
+  if (IdMismatch || (Request.Resume && Status >= FirstError))
     return Outcome::Unknown;
   AttemptObservation seen;
   seen.MayHaveSent = result.MayHaveSent;
@@ -301,8 +304,8 @@
 bool Exchange::refusedBeforeRunning() const {
   if (!Request.Admit.Adapter.empty())
     return isEngineRefusal(Status);
-  // What a plain service's status means is its own affair: it may answer 409
-  // or 503 after it has run. Only its word counts.
+  // A plain service may answer 409 or 503 after it has run the request, so
+  // its status proves nothing; only its outcome header does.
   return std::any_of(EndpointFields.begin(), EndpointFields.end(),
                      [](const auto &field) {
                        return sameName(field.first, header::Outcome) &&
@@ -315,13 +318,13 @@
     return Status != TooMany && Status != Unavailable;
   if (Status >= FirstError)
     return true;
-  // HTTP can end well although the engine did not come to its end.
+  // HTTP may end without error although the engine did not finish.
   if (Request.Stream)
     return Events.finished();
-  return Streaming || isWholeCompletion(Held);
+  return Streaming || isWholeCompletion(Buffered);
 }
 
-bool Exchange::tryAgain(Outcome outcome) {
+bool Exchange::retry(Outcome outcome) {
   FailedAttempt attempt;
   attempt.Repeatable = Request.Repeatable;
   attempt.How = outcome;
@@ -335,20 +338,20 @@
             << " adapter=" << Request.Admit.Adapter
             << " replica=" << Grant.Replica
             << " outcome=" << outcomeName(outcome);
-  Prior = outcomeAfter(Prior, outcome);
-  giveBack(outcome);
+  PriorOutcome = outcomeAfter(PriorOutcome, outcome);
+  releaseSlot(outcome);
   ++Request.Admit.Attempt;
   Transfer = 0;
   Status = 0;
   EndpointFields.clear();
-  Foreign = false;
-  Held.clear();
+  IdMismatch = false;
+  Buffered.clear();
   Events = {};
-  ask();
+  requestAdmission();
   return true;
 }
 
-void Exchange::answer(Outcome outcome, const HttpResult &result) {
+void Exchange::sendAnswer(Outcome outcome, const HttpResult &result) {
   if (Streaming && Request.Stream) {
     nlohmann::json node{{"outcome", outcomeName(outcome)},
                         {"request", Request.Id},
@@ -362,9 +365,9 @@
                                         : Reply->abort();
   }
   bool fits = Request.Admit.Adapter.empty() || isWhole();
-  if (result.Whole && !Foreign && fits)
+  if (result.Whole && !IdMismatch && fits)
     return Reply->sendWhole(result.Status, answerFields(outcome),
-                            std::move(Held));
+                            std::move(Buffered));
   EndpointFields.clear();
   auto fields = answerFields(outcome);
   fields.emplace_back("Retry-After", "1");
@@ -373,18 +376,19 @@
                    errorBody("endpoint_failed", result.Error));
 }
 
-void Exchange::onGone() {
+void Exchange::onCallerDisconnected() {
   std::lock_guard lock(Mutex);
   if (Ended)
     return;
-  Gone = true;
+  CallerDisconnected = true;
   if (Transfer)
     Client.cancel(Transfer);
-  end(outcomeAfter(Prior, Transfer ? Outcome::Unknown : Outcome::NotRun));
+  end(outcomeAfter(PriorOutcome,
+                   Transfer ? Outcome::Unknown : Outcome::NotRun));
 }
 
 void Exchange::refuse(const std::string &reason, Span retryAfter) {
-  auto outcome = outcomeAfter(Prior, Outcome::NotRun);
+  auto outcome = outcomeAfter(PriorOutcome, Outcome::NotRun);
   HttpFields fields{
       {std::string(header::RequestId), Request.Id},
       {std::string(header::Outcome), std::string(outcomeName(outcome))},
@@ -401,7 +405,7 @@
           Grant.Fence};
 }
 
-void Exchange::giveBack(Outcome outcome) {
+void Exchange::releaseSlot(Outcome outcome) {
   if (std::exchange(Registered, false))
     Hooks->Unregister(record());
   if (Ticket)
@@ -411,11 +415,11 @@
 
 void Exchange::end(Outcome outcome, std::string reason) {
   Ended = true;
-  giveBack(outcome);
+  releaseSlot(outcome);
   if (Claimed)
     Hooks->RecordOutcome(Claim, outcome);
-  Hooks->OnEnd({Request, Grant.Replica, outcome, std::move(reason), Gone,
-                Span(Grant.LoadStallUs), ToFirstByte});
+  Hooks->OnEnd({Request, Grant.Replica, outcome, std::move(reason),
+                CallerDisconnected, Span(Grant.LoadStallUs), ToFirstByte});
 }
 
 } // namespace hemlockglade
--- a/Programs/hemlockgladed/Exchange.h
+++ b/Programs/hemlockgladed/Exchange.h
@@ -4,63 +4,67 @@
 
 namespace hemlockglade {
 
-/// Everything an entry knows of one caller's request when it starts.
+/// One caller's request, as its entry starts it.
 struct ExchangeRequest {
   std::string Id;
   AdmitRequest Admit;
-  /// When the first byte is due.
+  /// Time by which the first byte is due.
   Instant Deadline{};
-  /// Request line towards the endpoint.
+  /// Request line sent to the endpoint.
   std::string Method;
   std::string PathAndQuery;
   HttpFields Fields;
   std::string Body;
-  /// Whether a server-sent event stream was asked for.
+  /// Whether the caller requested a stream of server-sent events.
   bool Stream = false;
-  /// Whether running it twice does no harm.
+  /// Whether running it twice does no harm, so that it may be retried.
   bool Repeatable = true;
-  /// Whether this goes on with a stream that another entry began.
+  /// Whether this resumes a stream that another entry started.
   bool Resume = false;
-  /// The caller's key; a request with one runs at most once under it.
+  /// The caller's idempotency key; at most one request runs under it. Empty if
+  /// none.
   std::string IdempotencyKey;
-  /// The caller's place under its limit; free again with the last copy.
-  std::shared_ptr<void> CallerPlace;
+  /// The slot under the caller's limit; released with the last copy.
+  std::shared_ptr<void> CallerSlot;
 };
 
 /// How an exchange ended, for logs and metrics.
 struct ExchangeEnd {
   const ExchangeRequest &Request;
   std::string Replica;
-  Outcome Ended = Outcome::Unknown;
+  Outcome Result = Outcome::Unknown;
   /// Reason of a refusal; empty if there was none.
   std::string Reason;
-  /// The caller went away before the end.
-  bool Gone = false;
+  /// The caller disconnected before the end.
+  bool CallerDisconnected = false;
   Span LoadStall{};
-  /// Time from the request's arrival to its first byte; zero without one.
+  /// Time from the request's arrival to its first byte; zero if none arrived.
   Span ToFirstByte{};
 };
 
-/// What an exchange uses of its node.
+/// Callbacks through which exchanges reach their node.
 struct ExchangeHooks {
+  /// Requests admission; see Admission::admit().
   std::function<std::shared_ptr<AdmissionTicket>(const AdmitRequest &,
                                                  Admission::OnReply)>
-      Ask;
-  /// Puts the request on the register of what runs here. False if a newer
-  /// owner of the cell has been told already what runs.
+      RequestAdmission;
+  /// Registers the request as running here. Returns false if a newer owner of
+  /// the cell has already received the running requests.
   std::function<bool(const RegisteredRequest &)> Register;
   std::function<void(const RegisteredRequest &)> Unregister;
+  /// Claims the request's idempotency key.
   std::function<void(const ExchangeRequest &, ClaimStore::OnAnswer)> Claim;
-  /// Writes down how the request of a claimed key ended.
+  /// Stores how the request of a claimed key ended.
   std::function<void(const ClaimTicket &, Outcome)> RecordOutcome;
   std::function<RetryVerdict(const FailedAttempt &)> MayRetry;
+  /// Calls the function once after the delay.
   std::function<void(Span, std::function<void()>)> After;
   std::function<void(const ExchangeEnd &)> OnEnd;
 };
 
-/// One caller's request at its entry: asks for admission, passes the
-/// endpoint's answer on as it comes, tries again where that is allowed, and
-/// says how it ended.
+/// Runs one caller's request at its entry: requests admission, sends it to the
+/// endpoint, forwards the answer as it arrives, retries where that is allowed,
+/// and reports how it ended. Thread-safe.
 class Exchange : public std::enable_shared_from_this<Exchange> {
 public:
   Exchange(ExchangeRequest request, std::shared_ptr<HttpReply> reply,
@@ -71,10 +75,11 @@
   void start();
 
 private:
-  void ask();
-  void askAgain();
-  /// The deadline is over; the owner has said nothing if it is still asked.
-  void onLate(std::uint32_t round);
+  void requestAdmission();
+  void retryAdmission();
+  /// Called after the deadline of an admission round; refuses the request if
+  /// the owner hasn't answered.
+  void onDeadline(std::uint32_t round);
   void onAdmitted(std::uint32_t round, const AdmitReply &reply);
   void claim();
   void onClaimed(const ClaimAnswer &answer);
@@ -83,17 +88,17 @@
   bool onPart(std::string_view part);
   void onSent(std::size_t n, bool ok);
   void onDone(const HttpResult &result);
-  void onGone();
-  bool tryAgain(Outcome outcome);
+  void onCallerDisconnected();
+  bool retry(Outcome outcome);
   void startStream();
-  void answer(Outcome outcome, const HttpResult &result);
-  Outcome ended(const HttpResult &result) const;
+  void sendAnswer(Outcome outcome, const HttpResult &result);
+  Outcome attemptOutcome(const HttpResult &result) const;
   bool refusedBeforeRunning() const;
   bool isWhole() const;
-  void pass(std::string_view part);
+  void forward(std::string_view part);
   void refuse(const std::string &reason, Span retryAfter);
-  void refuseTaken(const ClaimAnswer &answer);
-  void giveBack(Outcome outcome);
+  void refuseClaim(const ClaimAnswer &answer);
+  void releaseSlot(Outcome outcome);
   void end(Outcome outcome, std::string reason = {});
   RegisteredRequest record() const;
   HttpFields answerFields(Outcome outcome) const;
@@ -104,32 +109,36 @@
   std::shared_ptr<const ExchangeHooks> Hooks;
   Instant Arrived;
 
-  // Recursive, because a send to a caller who has gone may report that at
-  // once, from inside the call.
+  // Recursive, because a send to a caller that has disconnected may report
+  // that from inside the call.
   std::recursive_mutex Mutex;
-  /// Rises with each asking for admission, so that late answers are known.
+  /// Number of the admission request, by which late answers to earlier ones
+  /// are ignored.
   std::uint32_t Round = 0;
-  /// The asking of this round has no answer.
-  bool Waiting = false;
+  /// The admission request of this round has no answer yet.
+  bool AwaitingAdmission = false;
   std::shared_ptr<AdmissionTicket> Ticket;
   AdmitReply Grant;
   bool Registered = false;
   bool Claimed = false;
   ClaimTicket Claim;
-  /// How the attempts before this one ended, together.
-  Outcome Prior = Outcome::NotRun;
+  /// Combined outcome of the earlier attempts.
+  Outcome PriorOutcome = Outcome::NotRun;
   HttpClient::Ticket Transfer = 0;
   int Status = 0;
   HttpFields EndpointFields;
-  /// The endpoint's answer is marked as another request's.
-  bool Foreign = false;
-  std::string Held;
+  /// The endpoint's answer carries the id of another request.
+  bool IdMismatch = false;
+  /// Bytes of the answer that have not been sent to the caller.
+  std::string Buffered;
   EventSplitter Events;
+  /// Bytes passed to the caller's connection that it has not sent yet.
   std::size_t Unsent = 0;
   Span ToFirstByte{};
+  /// Whether the transfer from the endpoint is paused for a slow caller.
   bool Paused = false;
   bool Streaming = false;
-  bool Gone = false;
+  bool CallerDisconnected = false;
   bool Ended = false;
 };
 
--- a/Programs/hemlockgladed/GatewayMain.cpp
+++ b/Programs/hemlockgladed/GatewayMain.cpp
@@ -14,9 +14,9 @@
 constexpr int UsageError = 2;
 
 int serve(const GatewaySettings &settings, const std::string &config,
-          SignalHold &hold) {
-  // A write to a connection that the other side has closed is an error code,
-  // not the end of the process.
+          SignalBlock &signalBlock) {
+  // A write to a connection that the peer has closed then returns an error
+  // code instead of killing the process.
   std::signal(SIGPIPE, SIG_IGN);
   asio::io_context context(1);
   auto work = asio::make_work_guard(context);
@@ -28,14 +28,15 @@
   gateway.onStopped([&context] { context.stop(); });
   gateway.start();
   GatewaySignals signals(context, gateway, log, config);
-  hold.release();
+  signalBlock.release();
   context.run();
   return 0;
 }
 
 } // namespace
 
-int runGateway(const std::string &config, bool onlyCheck, SignalHold &hold) {
+int runGateway(const std::string &config, bool onlyCheck,
+               SignalBlock &signalBlock) {
   auto settings = readGatewayFile(config);
   if (!settings) {
     std::cerr << "hemlockgladed: " << settings.error();
@@ -44,7 +45,7 @@
   if (onlyCheck)
     return 0;
   try {
-    return serve(*settings, config, hold);
+    return serve(*settings, config, signalBlock);
   } catch (const std::exception &error) {
     std::cerr << "hemlockgladed: " << error.what() << '\n';
     return 1;
--- a/Programs/hemlockgladed/Main.cpp
+++ b/Programs/hemlockgladed/Main.cpp
@@ -1,6 +1,6 @@
 #include "GatewayMain.h"
 #include "Node.h"
-#include "SignalHold.h"
+#include "SignalBlock.h"
 
 #include <csignal>
 #include <easylogging++.h>
@@ -14,10 +14,11 @@
 
 DEFINE_string(config, "", "settings file of this node (YAML)");
 DEFINE_string(port_file, "",
-              "file to write the chosen ports to: callers, then peers");
-DEFINE_bool(gateway, false,
-            "serve from a registry: routes and replicas are found there, not "
-            "in declarations of our own");
+              "file to write the listening ports to: callers, then peers");
+DEFINE_bool(
+    gateway, false,
+    "serve from a registry: read routes and replicas from it instead of "
+    "from declarations");
 DEFINE_bool(check_config, false, "only check the settings file");
 
 namespace {
@@ -35,7 +36,7 @@
   el::Loggers::reconfigureAllLoggers(log);
 }
 
-int run(const NodeSettings &settings, SignalHold &hold) {
+int run(const NodeSettings &settings, SignalBlock &signalBlock) {
   asio::io_context context;
   auto work = asio::make_work_guard(context);
   Node node(context, settings);
@@ -48,7 +49,7 @@
             << " callers=" << node.callerPort() << " peers=" << node.peerPort();
   asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](asio::error_code, int) { node.stop(); });
-  hold.release();
+  signalBlock.release();
   std::vector<std::thread> threads;
   for (std::uint32_t it = 0; it < settings.Threads; ++it)
     threads.emplace_back([&context] { context.run(); });
@@ -61,12 +62,12 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  SignalHold hold;
+  SignalBlock signalBlock;
   gflags::SetUsageMessage("serves callers and owns cells; see README.md");
   gflags::SetVersionString(HEMLOCKGLADE_VERSION);
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   if (FLAGS_gateway)
-    return runGateway(FLAGS_config, FLAGS_check_config, hold);
+    return runGateway(FLAGS_config, FLAGS_check_config, signalBlock);
   setUpLog();
   std::ifstream file(FLAGS_config);
   if (!file) {
@@ -83,7 +84,7 @@
   if (FLAGS_check_config)
     return 0;
   try {
-    return run(*settings, hold);
+    return run(*settings, signalBlock);
   } catch (const std::exception &error) {
     std::cerr << "hemlockgladed: " << error.what() << '\n';
     return 1;
--- a/Programs/hemlockgladed/MembershipLink.cpp
+++ b/Programs/hemlockgladed/MembershipLink.cpp
@@ -1,6 +1,6 @@
 #include "MembershipLink.h"
 
-#include "PeerAsk.h"
+#include "PeerRequest.h"
 
 #include <easylogging++.h>
 
@@ -29,8 +29,8 @@
   hooks.After = Hooks.After;
   hooks.Ask = [this](const std::string &address, const MemberMessage &message,
                      OnAnswer done) {
-    askPeer<MemberMessage>(*Net, address, peer_path::Member, message,
-                           std::move(done));
+    requestPeer<MemberMessage>(*Net, address, peer_path::Member, message,
+                               std::move(done));
   };
   hooks.Seeds = Hooks.Seeds;
   hooks.InForce = Hooks.InForce;
@@ -55,7 +55,7 @@
 void MembershipLink::serve(const std::shared_ptr<PeerStream> &stream) {
   if (!Members)
     return stream->close();
-  answerPeer<MemberMessage, MemberMessage>(
+  servePeer<MemberMessage, MemberMessage>(
       stream, [members = Members](const MemberMessage &message, auto reply) {
         members->serve(message, [reply](std::optional<MemberMessage> answer) {
           if (answer)
--- a/Programs/hemlockgladed/MembershipLink.h
+++ b/Programs/hemlockgladed/MembershipLink.h
@@ -6,16 +6,17 @@
 
 namespace hemlockglade {
 
-/// What the membership's link needs of its node.
+/// Callbacks through which MembershipLink reaches its node.
 struct MembershipLinkHooks {
+  /// Calls the function once after the delay.
   std::function<void(Span, std::function<void()>)> After;
-  /// Peer addresses that the lease rows name, for the start.
+  /// Returns the peer addresses from which a starting node joins.
   std::function<std::vector<std::string>()> Seeds;
-  /// Configuration in force here.
+  /// Returns the revision in force here.
   std::function<Revision()> InForce;
-  /// A node has that revision in force; its peer address.
+  /// Called when the node at that peer address has the revision in force.
   std::function<void(Revision, const std::string &address)> OnRevision;
-  /// A cell's owner has changed.
+  /// Called when a cell's owner has changed.
   std::function<void(const CellOwner &)> OnCell;
 };
 
@@ -24,16 +25,17 @@
 public:
   MembershipLink(const MembershipSettings &settings, MembershipLinkHooks hooks);
 
-  /// Takes part from now on, as `self`.
+  /// Joins the membership as `self`. `seed` seeds its random choices.
   void start(PeerNet &net, const MemberRecord &self, std::uint64_t seed);
-  /// To be called once a round.
+  /// To be called at the membership's round interval.
   void round();
   /// Serves another node's stream.
   void serve(const std::shared_ptr<PeerStream> &stream);
 
-  /// Null before the start.
+  /// Null before start().
   Membership *operator->() const { return Members.get(); }
-  /// A peer's address, another one now and then; nothing if alone.
+  /// Returns the address of a peer, not always the same one; nothing if there
+  /// is no other.
   std::optional<std::string> anyPeer() const;
 
 private:
--- a/Programs/hemlockgladed/Node.cpp
+++ b/Programs/hemlockgladed/Node.cpp
@@ -14,14 +14,16 @@
 constexpr Span RecoveryInterval = std::chrono::milliseconds(250);
 constexpr Span CleanUpInterval = std::chrono::seconds(10);
 constexpr Span MetricsInterval = std::chrono::seconds(1);
-/// Time in which all nodes hear that one leaves.
-constexpr Span LeaveSpread = std::chrono::seconds(2);
-/// Declarations of 49,000 adapters and 12,000 replicas are 4.7 MB.
+/// Time within which all nodes have received that one is leaving.
+constexpr Span LeavePropagationTime = std::chrono::seconds(2);
+/// Room for the declarations of 49,000 adapters and 12,000 replicas, which are
+/// 4.7 MB.
 constexpr std::size_t MaxBodyBytes = std::size_t{8} * 1024 * 1024;
 constexpr Span IdlePoll = std::chrono::milliseconds(50);
 
-/// A node that is silent for a whole lease runs nothing any more, unless it
-/// is frozen; engines that take its orders then get more time.
+/// A node that has not answered for a whole lease runs nothing any more, unless
+/// its process is frozen; for engines that don't check fencing and would still
+/// take its orders the wait is longer.
 RecoverySettings recoverySettings(const NodeSettings &settings) {
   constexpr int UnfencedLeases = 3;
   RecoverySettings recovery;
@@ -58,12 +60,13 @@
       Config(Platform, configSettings(Settings), configHooks()),
       Members(MembershipSettings{}, memberHooks()),
       Cells(Settings.Name, recoverySettings(Settings), Engines, cellHooks()),
-      Asker([this](const std::string &cell) { return Cells.find(cell); },
-            [this](const std::string &cell) { return Leases->ownerOf(cell); }),
+      Admissions(
+          [this](const std::string &cell) { return Cells.find(cell); },
+          [this](const std::string &cell) { return Leases->ownerOf(cell); }),
       Callers({Settings.Name, Incarnation, Settings.DirectoryTtl},
               callerHooks()),
       Admin(Settings.Name, ControlClient, Config, Cells, adminHooks()),
-      Exchanges(exchangeHooks()), Claims(newClaimBook()),
+      SharedExchangeHooks(exchangeHooks()), Claims(newClaimStore()),
       Retries(RetryPolicySettings{}) {}
 
 Node::~Node() = default;
@@ -108,7 +111,7 @@
       if (node.Name != Settings.Name)
         seeds.push_back(node.PeerAddress);
     }
-    // Without the table, those that the settings name.
+    // The seeds of the settings work without the table too.
     seeds.insert(seeds.end(), Settings.Seeds.begin(), Settings.Seeds.end());
     return seeds;
   };
@@ -116,7 +119,7 @@
   hooks.OnRevision = [this](Revision number, const std::string &address) {
     Config.learn(number, address);
   };
-  // A change of hands is looked up in the table at once.
+  // A change of owner is read from the table at once.
   hooks.OnCell = [this](const CellOwner &cell) {
     auto known = Leases->cells();
     auto it = known.find(cell.Cell);
@@ -137,7 +140,7 @@
                        std::shared_ptr<HttpReply> reply) {
     Retries.onFirstAttempt();
     std::make_shared<Exchange>(std::move(request), std::move(reply), Client,
-                               Exchanges)
+                               SharedExchangeHooks)
         ->start();
   };
   return hooks;
@@ -157,14 +160,15 @@
 
 std::shared_ptr<const ExchangeHooks> Node::exchangeHooks() {
   auto hooks = std::make_shared<ExchangeHooks>();
-  hooks->Ask = [this](const AdmitRequest &request, Admission::OnReply reply) {
-    return Asker.ask(request, std::move(reply));
+  hooks->RequestAdmission = [this](const AdmitRequest &request,
+                                   Admission::OnReply reply) {
+    return Admissions.admit(request, std::move(reply));
   };
   hooks->Register = [this](const RegisteredRequest &request) {
-    return Cells.enter(request);
+    return Cells.registerRequest(request);
   };
   hooks->Unregister = [this](const RegisteredRequest &request) {
-    Cells.leave(request);
+    Cells.unregisterRequest(request);
   };
   hooks->Claim = [this](const ExchangeRequest &request,
                         ClaimStore::OnAnswer done) {
@@ -198,14 +202,14 @@
     std::optional<RecoveryNode> former;
     if (!record.FormerOwner.empty())
       former = {record.FormerOwner, record.FormerIncarnation};
-    Cells.own(cell, fence, former);
+    Cells.addCell(cell, fence, former);
     Members->announceCell({cell, Settings.Name, fence});
   };
-  hooks.OnLost = [this](const std::string &cell) { Cells.lose(cell); };
+  hooks.OnLost = [this](const std::string &cell) { Cells.removeCell(cell); };
   return hooks;
 }
 
-std::shared_ptr<ClaimStore> Node::newClaimBook() {
+std::shared_ptr<ClaimStore> Node::newClaimStore() {
   ClaimHooks hooks;
   hooks.WallMs = &wallMs;
   hooks.After = after();
@@ -250,7 +254,7 @@
   Peers = std::make_unique<PeerNet>(
       Context, Settings.Address, Settings.PeerPort,
       [this](const std::shared_ptr<PeerStream> &stream) { onPeer(stream); });
-  Asker.attach(*Peers);
+  Admissions.attach(*Peers);
   Cells.attach(*Peers);
   Config.attach(*Peers);
 }
@@ -264,11 +268,12 @@
   every(LeaseInterval, [this] { leaseRound(); });
   every(MembershipSettings{}.Round, [this] { Members.round(); });
   every(Settings.ConfigInterval, [this] { configRound(); });
-  every(Settings.ConfigInterval, [this] { lookAtHosts(); });
-  every(Settings.ReportInterval, [this] { Cells.askReports(); });
+  every(Settings.ConfigInterval, [this] { pollHosts(); });
+  every(Settings.ReportInterval, [this] { Cells.requestReports(); });
   every(TickInterval, [this] { Cells.tick(); });
-  every(TickInterval, [this] { Asker.tick(TimerService::now()); });
-  every(RecoveryInterval, [this] { Cells.tickRecovery(TimerService::now()); });
+  every(TickInterval, [this] { Admissions.tick(TimerService::now()); });
+  every(RecoveryInterval,
+        [this] { Cells.tickRecoveries(TimerService::now()); });
   every(CleanUpInterval, [this] { cleanUpClaims(); });
   every(MetricsInterval, [this] { refreshMetrics(); });
 }
@@ -277,7 +282,7 @@
                   const std::shared_ptr<HttpReply> &reply) {
   if (!Leases)
     return answer::error(*reply, 503, "starting", "the node is starting");
-  if (Callers.take(incoming, reply) || Admin.take(incoming, reply))
+  if (Callers.handle(incoming, reply) || Admin.handle(incoming, reply))
     return;
   if (incoming.Path == "/metrics")
     return reply->sendWhole(200, {{"Content-Type", "text/plain"}},
@@ -301,7 +306,7 @@
 void Node::onPeer(const std::shared_ptr<PeerStream> &stream) {
   const auto &path = stream->path();
   if (path == peer_path::Admit)
-    Asker.serve(stream);
+    Admissions.serve(stream);
   else if (path == peer_path::Recover)
     Cells.serveRecovery(stream);
   else if (path == peer_path::Config)
@@ -317,8 +322,8 @@
             << " attempt=" << end.Request.Admit.Attempt
             << " adapter=" << end.Request.Admit.Adapter
             << " replica=" << end.Replica
-            << " outcome=" << outcomeName(end.Ended) << " reason=" << end.Reason
-            << " gone=" << end.Gone;
+            << " outcome=" << outcomeName(end.Result)
+            << " reason=" << end.Reason << " gone=" << end.CallerDisconnected;
   Metrics.onEnd(end);
 }
 
@@ -330,18 +335,19 @@
   self.PeerAddress = Settings.Address + ':' + std::to_string(Peers->port());
   self.FailureDomain = Settings.FailureDomain;
   self.Region = Settings.Region;
-  // Not for callers until the configuration is in force here.
+  // Keeps callers away until the configuration is in force here.
   self.Leaving = true;
   return self;
 }
 
 std::vector<std::string> Node::addressesFor(const DirectoryQuery &query) const {
-  DirectoryQuery asked = query;
+  DirectoryQuery resolved = query;
   auto owner = Leases->ownerOf(std::string(query.Owner));
-  asked.Owner = owner ? std::string_view(owner->Name) : std::string_view();
+  resolved.Owner = owner ? std::string_view(owner->Name) : std::string_view();
   auto addresses =
-      chooseAddresses(DirectorySettings{}, asked, Members->members()).Addresses;
-  // A caller that got here is served here if there is no better place.
+      chooseAddresses(DirectorySettings{}, resolved, Members->members())
+          .Addresses;
+  // This node serves the caller itself if there is no better address.
   if (addresses.empty() && !Leaving)
     addresses.push_back(Members->self().CallerAddress);
   return addresses;
@@ -371,7 +377,7 @@
   return out;
 }
 
-void Node::lookAtHosts() {
+void Node::pollHosts() {
   Platform.hosts([this](auto hosts) {
     if (!hosts)
       return;
@@ -403,17 +409,18 @@
   LOG(INFO) << "stop node=" << Settings.Name;
   Members->leave();
   Leases->release([this] {
-    tellReleased();
-    // Callers may keep our address for the time to live, and other nodes may
-    // give it out until they have heard that we leave.
+    announceReleased();
+    // Callers may use the cached address for its time to live, and other nodes
+    // may return it until they have received that this node is leaving.
     auto until = TimerService::now() + Settings.StopBound;
-    Timers.after(Settings.DirectoryTtl + LeaveSpread,
+    Timers.after(Settings.DirectoryTtl + LeavePropagationTime,
                  [this, until](Instant) { waitUntilIdle(until); });
   });
 }
 
-void Node::tellReleased() {
-  // Only what the table says is told: the others look there at once.
+void Node::announceReleased() {
+  // Only releases that the table has are announced, because the other nodes
+  // then read it at once.
   for (const auto &[name, record] : Leases->cells()) {
     if (record.Owner.empty() && record.FormerOwner == Settings.Name)
       Members->announceCell({name, "", record.Fence});
--- a/Programs/hemlockgladed/Node.h
+++ b/Programs/hemlockgladed/Node.h
@@ -10,8 +10,8 @@
 
 namespace hemlockglade {
 
-/// One node: an entry for callers, perhaps the owner of cells, and a member
-/// of the system. It only wires its parts together.
+/// One node: an entry for callers, possibly an owner of cells, and a member of
+/// the cluster. It only connects its parts.
 class Node {
 public:
   Node(asio::io_context &context, NodeSettings settings);
@@ -19,12 +19,13 @@
   Node(const Node &) = delete;
   Node &operator=(const Node &) = delete;
 
-  /// Listens and takes part. Throws std::exception if it can't.
+  /// Listens, and joins the cluster. Throws std::exception if it can't listen.
   void start();
-  /// Leaves gracefully: finishes what runs, gives up its leases, then calls
-  /// the hook of `onStopped`. A second call changes nothing.
+  /// Stops gracefully: releases its leases, waits until the running requests
+  /// have ended, at most StopBound, then calls the hook of onStopped(). A
+  /// second call does nothing.
   void stop();
-  /// Sets the hook that is called once the node has left.
+  /// Sets the hook that is called once the node has stopped.
   void onStopped(std::function<void()> hook) { Stopped = std::move(hook); }
 
   std::uint16_t callerPort() const { return Http->port(); }
@@ -45,7 +46,7 @@
   AdminFrontHooks adminHooks();
   std::shared_ptr<const ExchangeHooks> exchangeHooks();
   LeaseHooks leaseHooks();
-  std::shared_ptr<ClaimStore> newClaimBook();
+  std::shared_ptr<ClaimStore> newClaimStore();
   std::function<void(Span, std::function<void()>)> after();
 
   std::vector<std::string> addressesFor(const DirectoryQuery &query) const;
@@ -54,10 +55,10 @@
   void onExchangeEnd(const ExchangeEnd &end);
   void configRound();
   void leaseRound();
-  void lookAtHosts();
+  void pollHosts();
   void cleanUpClaims();
   void refreshMetrics();
-  void tellReleased();
+  void announceReleased();
   void waitUntilIdle(Instant until);
 
   asio::io_context &Context;
@@ -74,10 +75,10 @@
   ConfigLink Config;
   MembershipLink Members;
   OwnedCells Cells;
-  Admission Asker;
+  Admission Admissions;
   CallerFront Callers;
   AdminFront Admin;
-  std::shared_ptr<const ExchangeHooks> Exchanges;
+  std::shared_ptr<const ExchangeHooks> SharedExchangeHooks;
   std::shared_ptr<ClaimStore> Claims;
   RetryPolicy Retries;
   std::unique_ptr<HttpServer> Http;
--- a/Programs/hemlockgladed/NodeMetrics.cpp
+++ b/Programs/hemlockgladed/NodeMetrics.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// The callback with the time that it took to come recorded.
+/// Returns the callback wrapped so that it records the time from now until it
+/// is called.
 template <typename T>
 TableCallback<T> timedCallback(NodeMetrics &metrics, std::string_view operation,
                                TableCallback<T> done) {
@@ -21,7 +22,7 @@
 
 void NodeMetrics::onEnd(const ExchangeEnd &end) {
   const auto &name = end.Request.Admit.Class;
-  Registry.counter(metric::Outcomes, {{"outcome", outcomeName(end.Ended)}})
+  Registry.counter(metric::Outcomes, {{"outcome", outcomeName(end.Result)}})
       .add();
   if (!end.Reason.empty())
     Registry.counter(metric::Refusals, {{"reason", end.Reason}}).add();
--- a/Programs/hemlockgladed/NodeMetrics.h
+++ b/Programs/hemlockgladed/NodeMetrics.h
@@ -7,23 +7,24 @@
 
 namespace hemlockglade {
 
-/// Feeds a node's metrics. What is asked for on hot paths is looked up once
-/// for each label value and kept by the registry.
+/// Updates a node's metrics. The registry keeps the metric of each label value
+/// after its first use.
 class NodeMetrics {
 public:
   explicit NodeMetrics(MetricRegistry &registry);
 
-  /// A request has ended.
+  /// Called when a request has ended.
   void onEnd(const ExchangeEnd &end);
-  /// An attempt is made after a first one.
+  /// Called when a request is retried.
   void onRetry();
-  /// The table has answered, or failed to.
+  /// Called when the table has answered or failed, with the time it took.
   void onTable(std::string_view operation, Span took);
-  /// Sets what is read off when the metrics are asked for.
+  /// Sets the gauges, and records the batch fills of all replicas. `running` is
+  /// the number of unfinished requests of callers.
   void refresh(const OwnedCells &cells, Revision inForce,
                std::span<const NodeRecord> nodes, std::size_t running);
 
-  /// The table with its latencies recorded.
+  /// Returns the same table with its latencies recorded.
   TableHooks timed(TableHooks table);
 
 private:
--- a/Programs/hemlockgladed/OwnedCells.cpp
+++ b/Programs/hemlockgladed/OwnedCells.cpp
@@ -7,7 +7,7 @@
 OwnedCells::OwnedCells(std::string self, const RecoverySettings &recovery,
                        EngineClient &engines, OwnedCellsHooks hooks)
     : Self(std::move(self)), Recovery(recovery), Engines(engines),
-      Hooks(std::move(hooks)), Keeper(recovery, recoveryHooks()) {
+      Hooks(std::move(hooks)), Recoveries(recovery, recoveryHooks()) {
   RecoveryLinksHooks links;
   links.AddressOf = [this](const std::string &node) {
     for (const auto &it : Hooks.Nodes()) {
@@ -17,13 +17,13 @@
     return std::string();
   };
   links.After = Hooks.After;
-  Links = std::make_shared<RecoveryLinks>(Self, Register, links);
+  Links = std::make_shared<RecoveryLinks>(Self, Running, links);
 }
 
 RecoveryHooks OwnedCells::recoveryHooks() {
   RecoveryHooks hooks;
   hooks.Ask = [this](const RecoveryNode &node, const std::string &cell,
-                     Epoch fence) { Links->ask(node, cell, fence); };
+                     Epoch fence) { Links->query(node, cell, fence); };
   hooks.OnAdopted = [this](const RecoveryNode &,
                            const RegisteredRequest &request) {
     if (auto runner = find(request.Cell))
@@ -41,24 +41,24 @@
   return hooks;
 }
 
-void OwnedCells::attach(PeerNet &net) { Links->attach(net, Keeper); }
+void OwnedCells::attach(PeerNet &net) { Links->attach(net, Recoveries); }
 
 std::vector<RecoveryNode> OwnedCells::recentNodes(Instant now) {
   auto live = Hooks.Nodes();
   std::lock_guard lock(Mutex);
   for (const auto &node : live)
-    Seen[node.Name + '/' + node.Incarnation] = {node, now};
-  std::erase_if(Seen, [&](const auto &it) {
+    RecentNodes[node.Name + '/' + node.Incarnation] = {node, now};
+  std::erase_if(RecentNodes, [&](const auto &it) {
     return now - it.second.second > Recovery.UnfencedWait;
   });
   std::vector<RecoveryNode> nodes;
-  for (const auto &[key, seen] : Seen)
-    nodes.push_back({seen.first.Name, seen.first.Incarnation});
+  for (const auto &[key, recent] : RecentNodes)
+    nodes.push_back({recent.first.Name, recent.first.Incarnation});
   return nodes;
 }
 
-void OwnedCells::own(const std::string &cell, Epoch fence,
-                     const std::optional<RecoveryNode> &former) {
+void OwnedCells::addCell(const std::string &cell, Epoch fence,
+                         const std::optional<RecoveryNode> &former) {
   LOG(INFO) << "own cell=" << cell << " epoch=" << fence;
   CellRunnerHooks hooks;
   hooks.Holds = [this, cell] { return Hooks.Holds(cell); };
@@ -78,9 +78,9 @@
   auto nodes = recentNodes(now);
   if (former)
     nodes.push_back(*former);
-  Keeper.begin(cell, fence, nodes, allCheckFencing(cell), now);
+  Recoveries.begin(cell, fence, nodes, allCheckFencing(cell), now);
   runner->tick();
-  runner->askReports();
+  runner->requestReports();
 }
 
 bool OwnedCells::allCheckFencing(const std::string &cell) const {
@@ -94,10 +94,10 @@
   return all;
 }
 
-void OwnedCells::lose(const std::string &cell) {
+void OwnedCells::removeCell(const std::string &cell) {
   LOG(INFO) << "lose cell=" << cell;
-  Keeper.end(cell);
-  Links->forget(cell);
+  Recoveries.end(cell);
+  Links->closeCell(cell);
   std::shared_ptr<CellRunner> runner;
   {
     std::lock_guard lock(Mutex);
@@ -111,7 +111,7 @@
 }
 
 LeaseMode OwnedCells::modeOf(const std::string &cell) const {
-  return Keeper.mode(cell, Hooks.Mode(cell));
+  return Recoveries.mode(cell, Hooks.Mode(cell));
 }
 
 void OwnedCells::configure(const CatalogView &view) {
@@ -133,18 +133,18 @@
     runner->tick();
 }
 
-void OwnedCells::tickRecovery(Instant now) {
+void OwnedCells::tickRecoveries(Instant now) {
   recentNodes(now);
   std::vector<RecoveryNode> live;
   for (const auto &node : Hooks.Nodes())
     live.push_back({node.Name, node.Incarnation});
-  Keeper.setNodes(live, now);
-  Keeper.tick(now);
+  Recoveries.setNodes(live, now);
+  Recoveries.tick(now);
 }
 
-void OwnedCells::askReports() {
+void OwnedCells::requestReports() {
   for (auto &runner : all())
-    runner->askReports();
+    runner->requestReports();
 }
 
 std::shared_ptr<CellRunner> OwnedCells::find(const std::string &cell) const {
@@ -161,13 +161,13 @@
   return out;
 }
 
-bool OwnedCells::enter(const RegisteredRequest &request) {
-  return Register.add(request);
+bool OwnedCells::registerRequest(const RegisteredRequest &request) {
+  return Running.add(request);
 }
 
-void OwnedCells::leave(const RegisteredRequest &request) {
-  Register.remove(request.Cell, request.Id);
-  Links->ended(request.Cell, request.Id);
+void OwnedCells::unregisterRequest(const RegisteredRequest &request) {
+  Running.remove(request.Cell, request.Id);
+  Links->onRequestEnded(request.Cell, request.Id);
 }
 
 void OwnedCells::serveRecovery(const std::shared_ptr<PeerStream> &stream) {
--- a/Programs/hemlockgladed/RecoveryLinks.cpp
+++ b/Programs/hemlockgladed/RecoveryLinks.cpp
@@ -11,34 +11,34 @@
 
 } // namespace
 
-RecoveryLinks::RecoveryLinks(std::string self, RunningRequests &register_,
+RecoveryLinks::RecoveryLinks(std::string self, RunningRequests &running,
                              RecoveryLinksHooks hooks)
-    : Self(std::move(self)), Register(register_), Hooks(std::move(hooks)) {}
+    : Self(std::move(self)), Running(running), Hooks(std::move(hooks)) {}
 
-void RecoveryLinks::attach(PeerNet &net, RecoveryCoordinator &keeper) {
+void RecoveryLinks::attach(PeerNet &net, RecoveryCoordinator &recoveries) {
   Net = &net;
-  Keeper = &keeper;
+  Recoveries = &recoveries;
 }
 
 bool RecoveryLinks::isCurrent(const Key &key, Epoch fence) const {
-  auto it = Asks.find(key);
-  return it != Asks.end() && it->second.Fence == fence;
+  auto it = Queries.find(key);
+  return it != Queries.end() && it->second.Fence == fence;
 }
 
-void RecoveryLinks::ask(const RecoveryNode &node, const std::string &cell,
-                        Epoch fence) {
+void RecoveryLinks::query(const RecoveryNode &node, const std::string &cell,
+                          Epoch fence) {
   if (node.Name == Self)
-    return onAnswer(node, cell, fence, Register.answer(cell, fence));
+    return onAnswer(node, cell, fence, Running.answer(cell, fence));
   Key key{node.Name + '/' + node.Incarnation, cell};
   {
     std::lock_guard lock(Mutex);
-    auto &asked = Asks[key];
-    if (asked.Open && asked.Fence == fence)
+    auto &query = Queries[key];
+    if (query.Open && query.Fence == fence)
       return;
-    if (asked.Fence != fence)
-      asked = {};
-    asked.Fence = fence;
-    asked.Open = true;
+    if (query.Fence != fence)
+      query = {};
+    query.Fence = fence;
+    query.Open = true;
   }
   auto address = Hooks.AddressOf(node.Name);
   if (address.empty())
@@ -56,7 +56,7 @@
                           pack(RecoverAsk{cell, fence}), std::move(hooks));
   std::lock_guard lock(Mutex);
   if (isCurrent(key, fence))
-    Asks[key].Stream = std::move(stream);
+    Queries[key].Stream = std::move(stream);
   else
     stream->close();
 }
@@ -70,17 +70,18 @@
     return;
   }
   if (auto ended = unpack<RecoverEnded>(message))
-    Keeper->onFinished(node, cell, ended->Id);
+    Recoveries->onFinished(node, cell, ended->Id);
 }
 
 void RecoveryLinks::onAnswer(const RecoveryNode &node, const std::string &cell,
                              Epoch fence, const RunningAnswer &answer) {
-  // What a former answer named and this one doesn't has ended unheard, while
-  // the stream was broken. A refusal names nothing and ends nothing.
+  // Requests that are in the previous answer and not in this one ended while
+  // the stream was broken. A refusal has no list, so it ends none.
   std::set<std::string> ended;
   if (!answer.Refused) {
     std::lock_guard lock(Mutex);
-    auto &known = Asks[{node.Name + '/' + node.Incarnation, cell}].Known;
+    auto &known =
+        Queries[{node.Name + '/' + node.Incarnation, cell}].KnownRequests;
     ended = std::exchange(known, {});
     for (const auto &request : answer.Requests) {
       known.insert(request.Id);
@@ -91,8 +92,8 @@
             << " node=" << node.Name << " running=" << answer.Requests.size()
             << " refused=" << answer.Refused;
   for (const auto &id : ended)
-    Keeper->onFinished(node, cell, id);
-  Keeper->onAnswer(node, cell, fence, answer);
+    Recoveries->onFinished(node, cell, id);
+  Recoveries->onAnswer(node, cell, fence, answer);
 }
 
 void RecoveryLinks::onClosed(const RecoveryNode &node, const std::string &cell,
@@ -102,8 +103,8 @@
     std::lock_guard lock(Mutex);
     if (!isCurrent(key, fence))
       return;
-    Asks[key].Open = false;
-    Asks[key].Stream.reset();
+    Queries[key].Open = false;
+    Queries[key].Stream.reset();
   }
   Hooks.After(ReopenDelay, [weak = weak_from_this(), key, node, cell, fence] {
     auto self = weak.lock();
@@ -115,13 +116,13 @@
         return;
     }
     if (!self->Hooks.AddressOf(node.Name).empty())
-      self->ask(node, cell, fence);
+      self->query(node, cell, fence);
   });
 }
 
-void RecoveryLinks::forget(const std::string &cell) {
+void RecoveryLinks::closeCell(const std::string &cell) {
   std::lock_guard lock(Mutex);
-  std::erase_if(Asks, [&cell](auto &entry) {
+  std::erase_if(Queries, [&cell](auto &entry) {
     if (entry.first.second != cell)
       return false;
     if (entry.second.Stream)
@@ -134,15 +135,16 @@
   stream->OnMessage = [self = shared_from_this(),
                        weak = std::weak_ptr(stream)](std::string_view message) {
     auto open = weak.lock();
-    auto ask = unpack<RecoverAsk>(message);
-    if (!open || !ask)
+    auto request = unpack<RecoverAsk>(message);
+    if (!open || !request)
       return;
-    // Both under the lock of `ended`: what ends later is told after the answer.
+    // Both under the mutex of onRequestEnded(), so that the ends of requests
+    // are sent after the answer that lists them.
     RunningAnswer answer;
     {
       std::lock_guard lock(self->Mutex);
-      self->Listeners.emplace(ask->Cell, weak);
-      answer = self->Register.answer(ask->Cell, ask->Fence);
+      self->OwnerStreams.emplace(request->Cell, weak);
+      answer = self->Running.answer(request->Cell, request->Fence);
       open->send(pack(toReply(answer)));
     }
     if (answer.Refused)
@@ -150,13 +152,14 @@
   };
 }
 
-void RecoveryLinks::ended(const std::string &cell, const std::string &id) {
+void RecoveryLinks::onRequestEnded(const std::string &cell,
+                                   const std::string &id) {
   std::lock_guard lock(Mutex);
-  auto [it, end] = Listeners.equal_range(cell);
+  auto [it, end] = OwnerStreams.equal_range(cell);
   while (it != end) {
     auto stream = it->second.lock();
     if (!stream) {
-      it = Listeners.erase(it);
+      it = OwnerStreams.erase(it);
       continue;
     }
     stream->send(pack(RecoverEnded{id}));
--- a/Programs/hemlockgladed/RecoveryLinks.h
+++ b/Programs/hemlockgladed/RecoveryLinks.h
@@ -8,41 +8,46 @@
 
 namespace hemlockglade {
 
-/// What the links need of their node.
+/// Callbacks through which RecoveryLinks reaches its node.
 struct RecoveryLinksHooks {
-  /// Peer address of a live node; empty if it isn't known.
+  /// Returns the peer address of a live node; empty if it isn't known.
   std::function<std::string(const std::string &node)> AddressOf;
+  /// Calls the function once after the delay.
   std::function<void(Span, std::function<void()>)> After;
 };
 
-/// Carries recovery between nodes: asks others for what they run of a cell
-/// that is ours now, and tells new owners what runs here. Each asking is a
-/// stream that stays open, so that the owner hears of each request that ends.
+/// Exchanges recovery messages between nodes. As a new owner it queries the
+/// other nodes for the requests of the cell that run through them; as one of
+/// those nodes it answers new owners. Each query is a stream that stays open,
+/// on which the owner then receives the end of each request.
 class RecoveryLinks : public std::enable_shared_from_this<RecoveryLinks> {
 public:
   /// `self` is this node's name.
-  RecoveryLinks(std::string self, RunningRequests &register_,
+  RecoveryLinks(std::string self, RunningRequests &running,
                 RecoveryLinksHooks hooks);
 
-  /// Gives the network and the keeper, once there are such.
-  void attach(PeerNet &net, RecoveryCoordinator &keeper);
+  /// Sets the network and the coordinator; to be called before all else.
+  void attach(PeerNet &net, RecoveryCoordinator &recoveries);
 
-  /// Asks a node for the running requests of the cell.
-  void ask(const RecoveryNode &node, const std::string &cell, Epoch fence);
-  /// The cell isn't ours any more.
-  void forget(const std::string &cell);
+  /// Queries a node for the running requests of the cell. A broken stream is
+  /// opened again while the node is live.
+  void query(const RecoveryNode &node, const std::string &cell, Epoch fence);
+  /// Closes the streams of a cell that this node doesn't own any more.
+  void closeCell(const std::string &cell);
 
   /// Serves a stream that a new owner opened.
   void serve(const std::shared_ptr<PeerStream> &stream);
-  /// A request that ran here has ended.
-  void ended(const std::string &cell, const std::string &id);
+  /// Called when a request that ran here has ended; reports it to the owners
+  /// that opened a stream.
+  void onRequestEnded(const std::string &cell, const std::string &id);
 
 private:
   /// The owner's end of a stream to one node for one cell.
-  struct Asked {
+  struct QueryStream {
     Epoch Fence = 0;
     bool Open = false;
-    std::set<std::string> Known;
+    /// Ids of running requests in the last answer.
+    std::set<std::string> KnownRequests;
     std::shared_ptr<PeerStream> Stream;
   };
   using Key = std::pair<std::string, std::string>;
@@ -52,19 +57,20 @@
   void onMessage(const RecoveryNode &node, const std::string &cell, Epoch fence,
                  std::string_view message, bool first);
   void onClosed(const RecoveryNode &node, const std::string &cell, Epoch fence);
+  /// Whether the stream of that key is for that epoch. The mutex is held.
   bool isCurrent(const Key &key, Epoch fence) const;
 
   std::string Self;
-  RunningRequests &Register;
+  RunningRequests &Running;
   RecoveryLinksHooks Hooks;
   PeerNet *Net = nullptr;
-  RecoveryCoordinator *Keeper = nullptr;
+  RecoveryCoordinator *Recoveries = nullptr;
 
   mutable std::mutex Mutex;
-  /// By node and incarnation, and cell.
-  std::map<Key, Asked> Asks;
-  /// Owners that want to hear what ends, by cell.
-  std::multimap<std::string, std::weak_ptr<PeerStream>> Listeners;
+  /// Keyed by node and incarnation, and cell.
+  std::map<Key, QueryStream> Queries;
+  /// Streams of the owners that receive the ends of requests, by cell.
+  std::multimap<std::string, std::weak_ptr<PeerStream>> OwnerStreams;
 };
 
 } // namespace hemlockglade
