--- a/Programs/hemlockgladed/Admission.h
+++ b/Programs/hemlockgladed/Admission.h
@@ -29,7 +29,8 @@
 class Admission {
 public:
   using OnReply = std::function<void(const AdmitReply &)>;
-  /// Returns the runner of a cell that this node owns; null if it owns it not.
+  /// Returns the runner of a cell that this node owns; null if it
+  /// doesn't own it.
   using FindRunner =
       std::function<std::shared_ptr<CellRunner>(const std::string &cell)>;
   /// Returns the node that owns a cell, if known.
@@ -42,7 +43,7 @@
   void attach(PeerNet &net) { Net = &net; }
 
   /// Requests admission from the cell's owner. `reply` is called at most once,
-  /// on any thread, and not after the ticket was finished.
+  /// on any thread.
   std::shared_ptr<AdmissionTicket> admit(const AdmitRequest &request,
                                          OnReply reply);
   /// Serves a stream that another node opened: one request, then the notice
--- a/Programs/hemlockgladed/CellRunner.h
+++ b/Programs/hemlockgladed/CellRunner.h
@@ -34,7 +34,7 @@
 
   /// Applies the parts of the configuration that concern the cell.
   void configure(const CatalogView &view);
-  /// Requests a slot. `reply` is called at most once, and not after finish().
+  /// Requests a slot. `reply` is called at most once.
   RequestKey admit(const AdmitRequest &request, OnReply reply);
   /// Releases the slot of a request that has ended. If it was admitted but not
   /// run, the known state of its replica may be outdated, so a report is
--- a/Programs/hemlockgladed/ConfigLink.h
+++ b/Programs/hemlockgladed/ConfigLink.h
@@ -24,14 +24,14 @@
   ConfigLink(PlatformClient &platform, const ConfigSettings &settings,
              ConfigLinkHooks hooks);
 
-  /// Sets the network; without one no other node is asked.
+  /// Sets the network; without one nothing is fetched from other nodes.
   void attach(PeerNet &net) { Net = &net; }
 
   /// To be called about once a second.
   void round();
   /// Called when the node at that peer address has this revision in force.
   void learn(Revision number, const std::string &address);
-  /// Commits changes to the table; see ConfigReplicator.
+  /// Commits changes through the table; see ConfigReplicator.
   void propose(ConfigProposal proposal, ConfigCallback done);
   /// Serves another node's stream.
   void serve(const std::shared_ptr<PeerStream> &stream);
--- a/Programs/hemlockgladed/Exchange.h
+++ b/Programs/hemlockgladed/Exchange.h
@@ -112,8 +112,7 @@
   // Recursive, because a send to a caller that has disconnected may report
   // that from inside the call.
   std::recursive_mutex Mutex;
-  /// Number of the admission request, by which late answers to earlier ones
-  /// are ignored.
+  /// Number of the admission request. Answers to earlier ones are ignored.
   std::uint32_t Round = 0;
   /// The admission request of this round has no answer yet.
   bool AwaitingAdmission = false;
--- a/Programs/hemlockgladed/MembershipLink.h
+++ b/Programs/hemlockgladed/MembershipLink.h
@@ -10,7 +10,8 @@
 struct MembershipLinkHooks {
   /// Calls the function once after the delay.
   std::function<void(Span, std::function<void()>)> After;
-  /// Returns the peer addresses from which a starting node joins.
+  /// Returns the peer addresses, of the lease rows and the settings, through
+  /// which a starting node joins.
   std::function<std::vector<std::string>()> Seeds;
   /// Returns the revision in force here.
   std::function<Revision()> InForce;
--- a/Programs/hemlockgladed/Node.cpp
+++ b/Programs/hemlockgladed/Node.cpp
@@ -111,7 +111,7 @@
       if (node.Name != Settings.Name)
         seeds.push_back(node.PeerAddress);
     }
-    // The seeds of the settings work without the table too.
+    // Without the table only the seeds of the settings are left.
     seeds.insert(seeds.end(), Settings.Seeds.begin(), Settings.Seeds.end());
     return seeds;
   };
--- a/Programs/hemlockgladed/OwnedCells.h
+++ b/Programs/hemlockgladed/OwnedCells.h
@@ -33,11 +33,11 @@
   /// Sets the network; to be called before the first cell is added.
   void attach(PeerNet &net);
 
-  /// Starts to run a cell that this node owns now, under this epoch. `former`
+  /// Starts running a cell that this node owns now, under this epoch. `former`
   /// is the owner before it, if known.
   void addCell(const std::string &cell, Epoch fence,
                const std::optional<RecoveryNode> &former);
-  /// Stops to run a cell that this node doesn't own any more.
+  /// Stops running a cell that this node doesn't own any more.
   void removeCell(const std::string &cell);
   /// Applies a new configuration in force to all cells.
   void configure(const CatalogView &view);
@@ -46,7 +46,7 @@
   /// To be called every few tens of milliseconds; handles deadlines, lease
   /// modes and loads.
   void tick();
-  /// To be called about twice a second or more; ends the waits of recoveries.
+  /// To be called a few times a second; ends the waits of recoveries.
   void tickRecoveries(Instant now);
   /// Requests the reports of all replicas.
   void requestReports();
--- a/UnitTests/Node/AdminFrontTest.cpp
+++ b/UnitTests/Node/AdminFrontTest.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// The platform's table behind HTTP.
+/// Serves the platform's table over HTTP.
 struct FakePlatform : ScriptedEndpoint {
   explicit FakePlatform(asio::io_context &context) : ScriptedEndpoint(context) {
-    OnRequest = [this](const std::string &request) { return obey(request); };
+    OnRequest = [this](const std::string &request) { return respond(request); };
   }
   VirtualTime Time;
   FakeTable Table{Time, 1};
 
 private:
-  Act obey(const std::string &request) {
+  ScriptedAnswer respond(const std::string &request) {
     auto line = request.substr(0, request.find(" HTTP"));
     auto query = line.substr(std::min(line.find('?'), line.size() - 1) + 1);
     if (line.starts_with("POST /table/commit")) {
@@ -44,9 +44,9 @@
   }
 };
 
-/// One node's front for operators.
-struct Desk {
-  Desk(CellsRig &rig, FakePlatform &platform)
+/// The AdminFront of one node.
+struct AdminNode {
+  AdminNode(CellsRig &rig, FakePlatform &platform)
       : Rig(rig), Platform(rig.Client, "http://" + platform.address()),
         Node(rig, "node"), Config(Platform, ConfigSettings{}, configHooks()),
         Admin("node", rig.Client, Config, Node.Cells, adminHooks()) {}
@@ -59,7 +59,7 @@
 
   std::shared_ptr<FakeReply> send(HttpIncoming in, bool fire = true) {
     auto reply = std::make_shared<FakeReply>();
-    REQUIRE(Admin.take(in, reply));
+    REQUIRE(Admin.handle(in, reply));
     REQUIRE(Node.until([&] {
       if (fire)
         Rig.fire();
@@ -67,8 +67,8 @@
     }));
     return reply;
   }
-  std::shared_ptr<FakeReply> say(const std::string &statement,
-                                 const std::string &command = "c") {
+  std::shared_ptr<FakeReply> execute(const std::string &statement,
+                                     const std::string &command = "c") {
     return send({"POST",
                  std::string(admin_path::Statement),
                  "",
@@ -78,14 +78,14 @@
   }
   std::shared_ptr<FakeReply> apply(const Catalog &wanted,
                                    const std::string &command,
-                                   const std::string &who) {
+                                   const std::string &operatorName) {
     return send({"POST",
                  std::string(admin_path::Apply),
                  "",
                  writeDeclarations(wanted),
                  "127.0.0.1",
                  {{std::string(header::CommandId), command},
-                  {std::string(header::Operator), who}}});
+                  {std::string(header::Operator), operatorName}}});
   }
   std::string exported() {
     return send({"GET",
@@ -120,11 +120,12 @@
   }
 };
 
-struct Office : CellsRig {
+/// A platform, and a node with the rig's declarations in force as revision 1.
+struct AdminRig : CellsRig {
   FakePlatform Platform{Context};
-  Desk First{*this, Platform};
+  AdminNode First{*this, Platform};
 
-  Office() {
+  AdminRig() {
     REQUIRE(First.apply(Wanted, "c0", "ann")->Status == 200);
     REQUIRE(First.revision() == 1);
   }
@@ -132,24 +133,25 @@
 
 } // namespace
 
-TEST_CASE("a bad statement is answered with its column", "[admin]") {
-  Office office;
+TEST_CASE("an invalid statement is refused with the column of the error",
+          "[admin]") {
+  AdminRig rig;
   for (const auto *bad : {"drian replica e1", "drain", "pin a", "show nothing",
                           "show replicas where", " "}) {
     CAPTURE(bad);
-    auto reply = office.First.say(bad);
+    auto reply = rig.First.execute(bad);
     CHECK(reply->Status == 400);
     CHECK(admin_format::readError(reply->Body).Column > 0);
   }
-  auto empty = office.First.say("");
+  auto empty = rig.First.execute("");
   CHECK(empty->Status == 400);
   CHECK_FALSE(admin_format::readError(empty->Body).Message.empty());
-  CHECK(office.First.revision() == 1);
+  CHECK(rig.First.revision() == 1);
 }
 
-TEST_CASE("a change of an operator takes effect once", "[admin]") {
-  Office office;
-  auto &desk = office.First;
+TEST_CASE("a change with the same command id takes effect once", "[admin]") {
+  AdminRig rig;
+  auto &node = rig.First;
   struct Case {
     std::string Text;
     std::size_t Pins;
@@ -161,55 +163,56 @@
                                           {"pin a@1 copies 1", 1, 0},
                                           {"unpin a@1", 0, 0}}) {
     CAPTURE(it.Text);
-    auto reply = desk.say(it.Text, it.Text);
+    auto reply = node.execute(it.Text, it.Text);
     CAPTURE(reply->Body);
     CHECK(reply->Status == 200);
-    CHECK(desk.revision() == ++number);
-    // The same command again, as after a lost answer.
-    desk.say(it.Text, it.Text);
-    CHECK(desk.revision() == number);
-    CHECK(desk.Config.inForce()->all<PinEntry>().size() == it.Pins);
-    CHECK(desk.Config.inForce()->all<DrainEntry>().size() == it.Drains);
+    CHECK(node.revision() == ++number);
+    // The same command again, as an operator sends it after a lost answer.
+    node.execute(it.Text, it.Text);
+    CHECK(node.revision() == number);
+    CHECK(node.Config.inForce()->all<PinEntry>().size() == it.Pins);
+    CHECK(node.Config.inForce()->all<DrainEntry>().size() == it.Drains);
   }
-  // So late that another command has undone it since.
-  CHECK(desk.say("drain replica e1", "drain replica e1")->Status == 200);
-  CHECK(desk.revision() == number);
+  // The same command again, after another command has undone it.
+  CHECK(node.execute("drain replica e1", "drain replica e1")->Status == 200);
+  CHECK(node.revision() == number);
   for (const auto *none : {"drain replica e9", "undrain replica e1",
                            "unpin a@1", "pin z@1 copies 1"})
-    CHECK(desk.say(none, none)->Status == 404);
-  CHECK(desk.revision() == number);
+    CHECK(node.execute(none, none)->Status == 404);
+  CHECK(node.revision() == number);
 }
 
-TEST_CASE("of two operators the second hears of the first", "[admin]") {
-  // Without the comparison of versions both would be accepted.
-  Office office;
-  Desk second(office, office.Platform);
+TEST_CASE("of two concurrent changes the second is refused and names the first",
+          "[admin]") {
+  // Without the comparison of versions both would be accepted and the second
+  // would overwrite the first.
+  AdminRig rig;
+  AdminNode second(rig, rig.Platform);
   second.Config.round();
   REQUIRE(second.Node.until([&] { return second.revision() == 1; }));
-  auto wanted = office.Wanted;
+  auto wanted = rig.Wanted;
   wanted.Replicas["e1"].Batch = 5;
-  REQUIRE(office.First.apply(wanted, "c1", "ann")->Status == 200);
+  REQUIRE(rig.First.apply(wanted, "c1", "ann")->Status == 200);
   wanted.Replicas["e1"].Batch = 6;
   auto reply = second.apply(wanted, "c2", "ben");
   CHECK(reply->Status == 409);
   CHECK(reply->Body.find("ann") != std::string::npos);
   CHECK(reply->Body.find("c1") != std::string::npos);
-  CHECK(office.First.Config.inForce()->find<ReplicaConfig>("e1")->Batch == 5);
-  // A repeat of the first command is the first command.
-  CHECK(office.First.revision() == 2);
+  CHECK(rig.First.Config.inForce()->find<ReplicaConfig>("e1")->Batch == 5);
+  // The refused command committed no revision.
+  CHECK(rig.First.revision() == 2);
 }
 
-TEST_CASE("what is exported can be declared again and changes nothing",
-          "[admin]") {
-  Office office;
-  office.First.say("drain replica e1", "d");
-  auto text = office.First.exported();
+TEST_CASE("applying the exported declarations changes nothing", "[admin]") {
+  AdminRig rig;
+  rig.First.execute("drain replica e1", "d");
+  auto text = rig.First.exported();
   auto read = checkDeclarations(text, "export");
   REQUIRE(read);
-  auto before = office.First.Config.inForce()->catalog();
+  auto before = rig.First.Config.inForce()->catalog();
   auto again = *read;
   again.Number = before.Number;
   CHECK(again == before);
-  CHECK(office.First.apply(*read, "again", "ann")->Status == 200);
-  CHECK(office.First.revision() == before.Number);
+  CHECK(rig.First.apply(*read, "again", "ann")->Status == 200);
+  CHECK(rig.First.revision() == before.Number);
 }
--- a/UnitTests/Node/CallerFrontTest.cpp
+++ b/UnitTests/Node/CallerFrontTest.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// The front of a node, with what it would have begun.
-struct Front {
+/// A CallerFront whose accepted requests are recorded instead of started.
+struct CallerFrontRig {
   std::shared_ptr<const CatalogView> InForce;
-  std::vector<ExchangeRequest> Begun;
+  std::vector<ExchangeRequest> Started;
   std::unique_ptr<CallerFront> Callers;
   bool CaughtUp = true;
 
-  Front() {
+  CallerFrontRig() {
     Catalog catalog;
     catalog.Services["assistant"].Name = "assistant";
     catalog.Services["plain"].Name = "plain";
@@ -31,13 +31,13 @@
     hooks.CaughtUp = [this] { return CaughtUp; };
     hooks.Begin = [this](ExchangeRequest request,
                          const std::shared_ptr<HttpReply> &) {
-      Begun.push_back(std::move(request));
+      Started.push_back(std::move(request));
     };
     Callers = std::make_unique<CallerFront>(settings, hooks);
   }
   std::shared_ptr<FakeReply> send(HttpIncoming incoming) {
     auto reply = std::make_shared<FakeReply>();
-    CHECK(Callers->take(incoming, reply));
+    CHECK(Callers->handle(incoming, reply));
     return reply;
   }
 };
@@ -54,8 +54,9 @@
 
 } // namespace
 
-TEST_CASE("each bad input of a caller has its status and its reason",
-          "[caller]") {
+TEST_CASE(
+    "each invalid request of a caller is refused with its status and type",
+    "[caller]") {
   struct Case {
     HttpIncoming In;
     int Status;
@@ -87,47 +88,47 @@
        {"0", "-1", "x", "1x", "", " 1", "1.5", "99999999999999999999"})
     cases.push_back({completion("oath", {{"X-Deadline-Ms", bad}}), 400,
                      "invalid_deadline"});
-  Front front;
+  CallerFrontRig rig;
   for (const auto &it : cases) {
     CAPTURE(it.In.Method, it.In.Path, it.In.Body, it.Type);
-    auto reply = front.send(it.In);
-    CHECK(reply->Begun == 1);
+    auto reply = rig.send(it.In);
+    CHECK(reply->Starts == 1);
     CHECK(reply->Status == it.Status);
     CHECK(reply->outcome() == "not-run");
     CHECK(reply->Body.find(it.Type) != std::string::npos);
   }
-  CHECK(front.Begun.empty());
-  // Other paths are left to others; good input begins.
+  CHECK(rig.Started.empty());
+  // Other paths are not handled; a valid request is started.
   auto other = call("GET", "/metrics");
-  CHECK_FALSE(front.Callers->take(other, nullptr));
-  front.send(completion("oath"));
-  REQUIRE(front.Begun.size() == 1);
-  CHECK(front.Begun[0].Admit.Adapter == "oath@2");
-  CHECK(front.Begun[0].Repeatable);
+  CHECK_FALSE(rig.Callers->handle(other, nullptr));
+  rig.send(completion("oath"));
+  REQUIRE(rig.Started.size() == 1);
+  CHECK(rig.Started[0].Admit.Adapter == "oath@2");
+  CHECK(rig.Started[0].Repeatable);
 }
 
-TEST_CASE("a caller has its places and no more", "[caller]") {
-  Front front;
-  front.send(completion("oath"));
-  front.send(completion("oath"));
-  auto reply = front.send(completion("oath"));
+TEST_CASE("a caller over its limit of running requests gets 429", "[caller]") {
+  CallerFrontRig rig;
+  rig.send(completion("oath"));
+  rig.send(completion("oath"));
+  auto reply = rig.send(completion("oath"));
   CHECK(reply->Status == 429);
   CHECK(reply->outcome() == "not-run");
   CHECK(reply->field("Retry-After") == "1");
   auto other = completion("oath");
   other.Remote = "127.0.0.2";
-  CHECK(front.send(other)->Begun == 0);
-  // A place is free again with the end of its request, also a refused one's.
-  front.Begun.erase(front.Begun.begin());
-  front.send(completion("oath", {{"X-Deadline-Ms", "x"}}));
-  CHECK(front.send(completion("oath"))->Begun == 0);
-  CHECK(front.send(completion("oath"))->Status == 429);
+  CHECK(rig.send(other)->Starts == 0);
+  // A slot is released with its request, and also when the request is refused.
+  rig.Started.erase(rig.Started.begin());
+  rig.send(completion("oath", {{"X-Deadline-Ms", "x"}}));
+  CHECK(rig.send(completion("oath"))->Starts == 0);
+  CHECK(rig.send(completion("oath"))->Status == 429);
 }
 
-TEST_CASE("deadlines are those asked for, within the bound", "[caller]") {
+TEST_CASE("a requested deadline is applied up to the maximum", "[caller]") {
   struct Case {
     std::string Ms;
-    Span Most;
+    Span Expected;
   };
   for (const auto &it :
        std::vector<Case>{{"1000", std::chrono::seconds(1)},
@@ -135,16 +136,17 @@
                          {"9223372036854775", std::chrono::minutes(10)},
                          {"9223372036854775807", std::chrono::minutes(10)}}) {
     CAPTURE(it.Ms);
-    Front front;
+    CallerFrontRig rig;
     auto before = TimerService::now();
-    front.send(completion("oath", {{"X-Deadline-Ms", it.Ms}}));
-    REQUIRE(front.Begun.size() == 1);
-    CHECK(front.Begun[0].Deadline >= before + it.Most);
-    CHECK(front.Begun[0].Deadline <= TimerService::now() + it.Most);
+    rig.send(completion("oath", {{"X-Deadline-Ms", it.Ms}}));
+    REQUIRE(rig.Started.size() == 1);
+    CHECK(rig.Started[0].Deadline >= before + it.Expected);
+    CHECK(rig.Started[0].Deadline <= TimerService::now() + it.Expected);
   }
 }
 
-TEST_CASE("what may run twice", "[caller]") {
+TEST_CASE("safe methods, completions and the header decide what is repeatable",
+          "[caller]") {
   struct Case {
     HttpIncoming In;
     HttpFields More;
@@ -161,24 +163,25 @@
             {{"X-Repeatable", "no"}},
             false}}) {
     CAPTURE(it.In.Method, it.In.Path);
-    Front front;
+    CallerFrontRig rig;
     auto in = it.In;
     in.Fields = it.More;
-    front.send(in);
-    REQUIRE(front.Begun.size() == 1);
-    CHECK(front.Begun[0].Repeatable == it.Repeatable);
+    rig.send(in);
+    REQUIRE(rig.Started.size() == 1);
+    CHECK(rig.Started[0].Repeatable == it.Repeatable);
   }
 }
 
-TEST_CASE("a node that has just started sends callers elsewhere", "[caller]") {
-  Front front;
-  front.CaughtUp = false;
-  auto reply = front.send(completion("oath"));
+TEST_CASE("a node without a configuration answers callers with 503",
+          "[caller]") {
+  CallerFrontRig rig;
+  rig.CaughtUp = false;
+  auto reply = rig.send(completion("oath"));
   CHECK(reply->Status == 503);
   CHECK(reply->outcome() == "not-run");
   CHECK(reply->field("Retry-After") == "1");
-  CHECK(front.Begun.empty());
-  front.CaughtUp = true;
-  front.send(completion("oath"));
-  CHECK(front.Begun.size() == 1);
+  CHECK(rig.Started.empty());
+  rig.CaughtUp = true;
+  rig.send(completion("oath"));
+  CHECK(rig.Started.size() == 1);
 }
--- a/UnitTests/Node/CellRunnerTest.cpp
+++ b/UnitTests/Node/CellRunnerTest.cpp
@@ -12,7 +12,7 @@
          std::string::npos;
 }
 
-/// One node that owns the cell of the engines.
+/// One node that owns a cell.
 struct Owner : CellsRig {
   CellNode Node{*this, "owner"};
   std::shared_ptr<CellRunner> Runner;
@@ -27,58 +27,62 @@
     commit();
     Node.Cells.configure(*InForce);
   }
-  /// The answer to a new request, whose slot stays taken.
+  /// Requests admission and returns the answer; the slot stays taken.
   AdmitReply admit(const std::string &adapter) {
     auto [reply, ticket] =
         Node.admit(request("r" + std::to_string(Tickets.size()), adapter));
     Tickets.push_back(ticket);
     return reply;
   }
-  /// A request that isn't waited for.
-  std::shared_ptr<std::optional<AdmitReply>> ask(const std::string &adapter) {
+  /// Requests admission without waiting; the answer is stored in the result.
+  std::shared_ptr<std::optional<AdmitReply>>
+  startAdmit(const std::string &adapter) {
     auto reply = std::make_shared<std::optional<AdmitReply>>();
-    Tickets.push_back(
-        Node.Asker.ask(request("r" + std::to_string(Tickets.size()), adapter),
-                       [reply](const AdmitReply &it) { *reply = it; }));
+    Tickets.push_back(Node.Admissions.admit(
+        request("r" + std::to_string(Tickets.size()), adapter),
+        [reply](const AdmitReply &it) { *reply = it; }));
     return reply;
   }
 };
 
 } // namespace
 
-TEST_CASE("orders to load carry the epoch, and a grant does too", "[runner]") {
+TEST_CASE("load orders and grants carry the fencing epoch", "[runner]") {
   Owner owner(7);
   CHECK(owner.admit("a@1").Fence == 7);
   REQUIRE(owner.Engine.orders("load").size() == 1);
   CHECK(hasFence(owner.Engine.orders("load")[0], 7));
 }
 
-TEST_CASE("no order to evict leaves without the lease", "[runner]") {
-  for (bool looked : {true, false}) {
-    CAPTURE(looked);
+TEST_CASE("no eviction is sent after the lease has lapsed", "[runner]") {
+  for (bool lapsed : {true, false}) {
+    CAPTURE(lapsed);
     Owner owner;
     owner.admit("a@1");
     owner.Tickets.clear();
-    // The mode still says held; the lease itself has lapsed since.
-    owner.Node.Holds = !looked;
-    auto reply = owner.ask("b@1");
-    REQUIRE(owner.Node.until([&] { return owner.Node.HoldsAsked > 0; }));
-    if (!looked)
+    // The mode is still Held, but the lease itself has lapsed.
+    owner.Node.Holds = !lapsed;
+    auto reply = owner.startAdmit("b@1");
+    REQUIRE(owner.Node.until([&] { return owner.Node.HoldsChecks > 0; }));
+    if (!lapsed)
       REQUIRE(owner.Node.until(
           [&] { return !owner.Engine.orders("unload").empty(); }));
     owner.settle();
-    CHECK(owner.Engine.orders("unload").empty() == looked);
-    CHECK(owner.Engine.Loaded.contains("a@1") == looked);
-    if (!looked)
+    CHECK(owner.Engine.orders("unload").empty() == lapsed);
+    CHECK(owner.Engine.Loaded.contains("a@1") == lapsed);
+    if (!lapsed)
       CHECK(hasFence(owner.Engine.orders("unload")[0], 7));
   }
 }
 
-TEST_CASE("what runs is never evicted, nor is anything in doubt", "[runner]") {
+TEST_CASE(
+    "nothing is evicted while it runs, nor while the lease is doubtful or "
+    "recovering",
+    "[runner]") {
   for (auto mode : {LeaseMode::Doubtful, LeaseMode::Recovering}) {
     Owner owner;
     owner.admit("a@1");
-    auto reply = owner.ask("b@1");
+    auto reply = owner.startAdmit("b@1");
     owner.Node.until([&] { return owner.Runner->waiting() == 1; });
     owner.settle();
     CHECK(owner.Engine.orders("unload").empty());
@@ -90,42 +94,42 @@
   }
 }
 
-TEST_CASE("a request that was not run makes the owner ask for a report",
+TEST_CASE("a request that was not run makes the owner request a report",
           "[runner]") {
   for (auto outcome : {Outcome::NotRun, Outcome::Complete}) {
     Owner owner;
     owner.admit("a@1");
     owner.settle();
     auto before = owner.Engine.count("GET /load");
-    // The engine has started again and holds nothing.
+    // The engine has restarted and has no adapters loaded.
     owner.Engine.Loaded.clear();
     owner.Engine.Incarnation = "i2";
     owner.Tickets.front()->finish(outcome);
     owner.settle(6);
-    bool asked = owner.Engine.count("GET /load") > before;
-    CHECK(asked == (outcome == Outcome::NotRun));
-    // Known again, it is loaded before the next request is sent there.
+    bool reported = owner.Engine.count("GET /load") > before;
+    CHECK(reported == (outcome == Outcome::NotRun));
+    // With the new report the adapter is loaded again before the next request
+    // is admitted.
     auto loads = owner.Engine.orders("load").size();
     auto reply = owner.admit("a@1");
-    CHECK((owner.Engine.orders("load").size() > loads) == asked);
+    CHECK((owner.Engine.orders("load").size() > loads) == reported);
   }
 }
 
-TEST_CASE("a report that was overtaken by a load takes nothing back",
-          "[runner]") {
+TEST_CASE("a report from before a load does not undo it", "[runner]") {
   Owner owner;
   owner.Node.Reports = false;
   owner.settle(6);
-  // The engine tells what it holds before the load, and is heard after it.
-  auto obey = owner.Engine.OnRequest;
+  // The engine builds the report before the load, and it arrives after it.
+  auto respond = owner.Engine.OnRequest;
   std::string late;
   owner.Engine.OnRequest = [&](const std::string &request) {
     if (!request.starts_with("GET /load"))
-      return obey(request);
-    late = obey(request).Bytes;
-    return Act{};
+      return respond(request);
+    late = respond(request).Bytes;
+    return ScriptedAnswer{};
   };
-  owner.Node.Cells.askReports();
+  owner.Node.Cells.requestReports();
   REQUIRE(owner.until([&] { return !late.empty(); }));
   auto session = owner.Engine.last();
   owner.admit("a@1");
@@ -136,7 +140,7 @@
   CHECK(owner.Engine.orders("load").size() == 1);
 }
 
-TEST_CASE("a leaving or drained replica gets nothing new", "[runner]") {
+TEST_CASE("a leaving or drained replica gets no new requests", "[runner]") {
   for (bool leaving : {true, false}) {
     CAPTURE(leaving);
     Owner owner;
@@ -158,7 +162,7 @@
     for (const auto *adapter : {"a@1", "a@1", "b@1"})
       CHECK(owner.admit(adapter).Replica != first);
     owner.Tickets.clear();
-    // Off again: with the other one away it is used.
+    // No longer draining: it is used once the other one is removed.
     set(false);
     owner.Wanted.Replicas.erase(first == "e1" ? "e2" : "e1");
     owner.configure();
@@ -179,7 +183,7 @@
   CHECK(owner.admit("a@1").Replica == "e2");
 }
 
-TEST_CASE("a replica that moves to another service leaves its cell",
+TEST_CASE("a replica that moves to another service is removed from its cell",
           "[runner]") {
   Owner owner;
   REQUIRE(owner.admit("a@1").Granted);
@@ -191,7 +195,8 @@
   CHECK(reply.Reason == "no-replica");
 }
 
-TEST_CASE("pins and rules of the configuration are kept", "[runner]") {
+TEST_CASE("pins and placement rules of the configuration are applied",
+          "[runner]") {
   Owner owner;
   owner.addReplica("e2", owner.Other).Slots = 4;
   owner.Wanted.Replicas["e1"].Slots = 4;
@@ -201,7 +206,7 @@
   CHECK(owner.admit("b@1").Replica == "e2");
   CHECK(owner.admit("a@1").Replica == "e1");
   owner.Tickets.clear();
-  // A pin loads without a request, where it says.
+  // A pin loads its adapter in its failure domain without a request.
   owner.Wanted.Rules.clear();
   PinConfig pin{{"c", 1}, "zone-e2", 1};
   owner.Wanted.Pins[pinName(pin)] = pin;
@@ -210,7 +215,7 @@
   CHECK(owner.Node.until([&] { return owner.Other.Loaded.contains("c@1"); }));
 }
 
-TEST_CASE("an operator's load goes where it says", "[runner]") {
+TEST_CASE("an operator's load goes to the given replica", "[runner]") {
   Owner owner;
   owner.addReplica("e2", owner.Other);
   owner.configure();
@@ -220,29 +225,30 @@
   CHECK(owner.Engine.Loaded.empty());
 }
 
-TEST_CASE("a plain service that is down isn't chosen", "[runner]") {
+TEST_CASE("a replica of a plain service that is down isn't chosen",
+          "[runner]") {
   Owner owner(7, "plain/0");
   owner.addReplica("p1", owner.Engine, "plain");
   owner.addReplica("p2", owner.Other, "plain").Address =
       Loopback::address(owner.deadPort());
   owner.configure();
-  // Before it was asked after, it counts as there.
-  owner.Node.Cells.askReports();
+  // Before its first probe a replica counts as live.
+  owner.Node.Cells.requestReports();
   owner.settle(8);
   for (int it = 0; it < 6; ++it) {
-    owner.Node.Cells.askReports();
+    owner.Node.Cells.requestReports();
     owner.settle(2);
     CHECK(owner.admit("").Replica == "p1");
   }
 }
 
-TEST_CASE("a cell that is lost refuses what waits and gives no orders",
+TEST_CASE("a lost cell refuses the waiting requests and sends no orders",
           "[runner]") {
   Owner owner;
   owner.admit("a@1");
-  auto reply = owner.ask("b@1");
+  auto reply = owner.startAdmit("b@1");
   auto loads = owner.Engine.orders("load").size();
-  owner.Node.Cells.lose(Cell);
+  owner.Node.Cells.removeCell(Cell);
   REQUIRE(owner.until([&] { return reply->has_value(); }));
   CHECK((*reply)->Reason == "not-owner");
   owner.Tickets.clear();
--- a/UnitTests/Node/CellsRig.h
+++ b/UnitTests/Node/CellsRig.h
@@ -6,15 +6,15 @@
 
 namespace hemlockglade::test {
 
-/// An engine that obeys, and what it holds.
+/// An engine that carries out every order, with its loaded adapters.
 struct FakeEngine : ScriptedEndpoint {
   explicit FakeEngine(asio::io_context &context) : ScriptedEndpoint(context) {
-    OnRequest = [this](const std::string &request) { return obey(request); };
+    OnRequest = [this](const std::string &request) { return respond(request); };
   }
   std::set<std::string> Loaded;
   std::string Incarnation = "i1";
 
-  /// Orders of that kind, `load` or `unload`, with their heads.
+  /// Returns the orders of that kind, `load` or `unload`, with their heads.
   std::vector<std::string> orders(const std::string &kind) const {
     std::vector<std::string> out;
     for (const auto &it : Requests) {
@@ -25,7 +25,7 @@
   }
 
 private:
-  Act obey(const std::string &request) {
+  ScriptedAnswer respond(const std::string &request) {
     auto body = request.substr(request.find("\r\n\r\n") + 4);
     if (auto order = engine_format::readOrder(body)) {
       if (request.starts_with("POST /v1/load"))
@@ -42,7 +42,8 @@
   }
 };
 
-/// What the nodes of a test share: the configuration, the list of nodes.
+/// What the nodes of a test share: the configuration, the list of nodes, the
+/// engines and the timers.
 struct CellsRig : Loopback {
   Catalog Wanted;
   std::shared_ptr<const CatalogView> InForce;
@@ -73,10 +74,12 @@
     it.Slots = 1;
     return it;
   }
+  /// Puts the wanted catalog in force as the next revision.
   void commit() {
     ++Wanted.Number;
     InForce = std::make_shared<CatalogView>(CatalogView::of(Wanted));
   }
+  /// Runs all timers that are set now.
   void fire() {
     for (auto &call : std::exchange(Timers, {}))
       call();
@@ -92,20 +95,20 @@
   }
 };
 
-/// The parts of one node that own cells and admit to them.
+/// The parts of one node that own cells and admit requests to them.
 struct CellNode {
   CellNode(CellsRig &rig, const std::string &name,
            const RecoverySettings &recovery = {})
       : Rig(rig), Name(name), Cells(name, recovery, rig.Engines, hooks()),
-        Asker([this](const std::string &cell) { return Cells.find(cell); },
-              [this](const std::string &) { return Owner; }),
+        Admissions([this](const std::string &cell) { return Cells.find(cell); },
+                   [this](const std::string &) { return Owner; }),
         Net(rig.Context, "127.0.0.1", 0,
             [this](std::shared_ptr<PeerStream> stream) { accept(stream); }) {
     Record.Name = name;
     Record.Incarnation = name + "-1";
     Record.PeerAddress = Loopback::address(Net.port());
     Cells.attach(Net);
-    Asker.attach(Net);
+    Admissions.attach(Net);
     rig.Nodes.push_back(Record);
   }
   ~CellNode() {
@@ -119,57 +122,57 @@
   /// Owner of all cells, as this node knows it.
   std::optional<NodeRecord> Owner;
   LeaseMode Mode = LeaseMode::Held;
-  /// What the lease says right before an order leaves, and how often it did.
+  /// Answer to the lease check right before an order, and the number of checks.
   bool Holds = true;
-  int HoldsAsked = 0;
-  /// Whether engines are asked for their reports now and then.
+  int HoldsChecks = 0;
+  /// Whether until() requests the reports of engines periodically.
   bool Reports = true;
   std::vector<std::shared_ptr<PeerStream>> Streams;
   OwnedCells Cells;
-  Admission Asker;
+  Admission Admissions;
   PeerNet Net;
 
   std::shared_ptr<CellRunner> own(Epoch fence,
                                   const std::string &cell = "assistant/0") {
-    Cells.own(cell, fence, std::nullopt);
+    Cells.addCell(cell, fence, std::nullopt);
     return Cells.find(cell);
   }
   /// Runs the node's periodic work until the condition holds.
   bool until(const std::function<bool()> &condition) {
     return Rig.until([&] {
-      Cells.tickRecovery(TimerService::now());
+      Cells.tickRecoveries(TimerService::now());
       Cells.tick();
-      if (Reports && ++Turns % TurnsPerReport == 0)
-        Cells.askReports();
-      nudge();
+      if (Reports && ++Rounds % RoundsPerReport == 0)
+        Cells.requestReports();
+      postHandler();
       return condition();
     });
   }
-  /// Asks for admission of one request and waits for the answer.
+  /// Requests admission of one request and waits for the answer.
   std::pair<AdmitReply, std::shared_ptr<AdmissionTicket>>
   admit(const AdmitRequest &request) {
     auto reply = std::make_shared<std::optional<AdmitReply>>();
-    auto ticket =
-        Asker.ask(request, [reply](const AdmitReply &it) { *reply = it; });
+    auto ticket = Admissions.admit(
+        request, [reply](const AdmitReply &it) { *reply = it; });
     REQUIRE(until([&] { return reply->has_value(); }));
     return {**reply, ticket};
   }
 
 private:
-  static constexpr int TurnsPerReport = 64;
-  int Turns = 0;
-  // One at a time, or what the loop has to do would only grow.
-  std::shared_ptr<bool> Nudged = std::make_shared<bool>(false);
+  static constexpr int RoundsPerReport = 64;
+  int Rounds = 0;
+  // At most one posted handler at a time, or their number would only grow.
+  std::shared_ptr<bool> HandlerPosted = std::make_shared<bool>(false);
 
-  /// Something to run, so that the loop turns while nothing else comes.
-  void nudge() {
-    if (!std::exchange(*Nudged, true))
-      asio::post(Rig.Context, [nudged = Nudged] { *nudged = false; });
+  /// Posts a handler, so that the event loop runs while nothing else is ready.
+  void postHandler() {
+    if (!std::exchange(*HandlerPosted, true))
+      asio::post(Rig.Context, [posted = HandlerPosted] { *posted = false; });
   }
   void accept(const std::shared_ptr<PeerStream> &stream) {
     Streams.push_back(stream);
     if (stream->path() == peer_path::Admit)
-      return Asker.serve(stream);
+      return Admissions.serve(stream);
     Cells.serveRecovery(stream);
   }
   OwnedCellsHooks hooks() {
@@ -177,7 +180,7 @@
     hooks.InForce = [this] { return Rig.InForce; };
     hooks.Nodes = [this] { return Rig.Nodes; };
     hooks.Holds = [this](const std::string &) {
-      ++HoldsAsked;
+      ++HoldsChecks;
       return Holds;
     };
     hooks.Mode = [this](const std::string &) { return Mode; };
--- a/UnitTests/Node/ExchangeRig.h
+++ b/UnitTests/Node/ExchangeRig.h
@@ -8,13 +8,13 @@
 
 namespace hemlockglade::test {
 
-/// An exchange between a caller in memory and a scripted endpoint, with the
-/// hooks that a node would give it. Each hook can be replaced by a test.
+/// An exchange between a caller in memory and a scripted endpoint, with hooks
+/// like those of a node. A test can replace each hook.
 struct ExchangeRig : Loopback {
   struct Finish {
-    Outcome Ended = Outcome::Unknown;
+    Outcome Result = Outcome::Unknown;
     std::string Reason;
-    bool Gone = false;
+    bool CallerDisconnected = false;
   };
 
   ScriptedEndpoint Engine{Context};
@@ -24,19 +24,20 @@
   std::shared_ptr<ExchangeHooks> Hooks = std::make_shared<ExchangeHooks>();
 
   ExchangeRequest Request;
-  /// Answers to askings, in order; further ones are granted.
+  /// Answers to admission requests, in order; further ones are granted.
   std::deque<AdmitReply> Admissions;
-  /// Keeps askings unanswered.
+  /// Leaves admission requests unanswered; see AdmitReplies.
   bool HoldAdmissions = false;
-  std::vector<AdmitRequest> Asked;
-  std::vector<Admission::OnReply> AskReplies;
-  std::vector<Outcome> GivenBack;
-  /// Epoch below which the register refuses.
-  Epoch Promised = 0;
-  std::set<std::string> Register;
+  std::vector<AdmitRequest> AdmitRequests;
+  std::vector<Admission::OnReply> AdmitReplies;
+  std::vector<Outcome> Released;
+  /// Registration of a request admitted under a lower epoch is refused.
+  Epoch MinEpoch = 0;
+  std::set<std::string> Registered;
   std::vector<std::function<void()>> Timers;
   std::vector<ClaimStore::OnAnswer> Claims;
-  std::optional<ClaimAnswer> ClaimGiven;
+  /// Answer to claims; without one they are kept in Claims.
+  std::optional<ClaimAnswer> ClaimResponse;
   std::vector<Outcome> Recorded;
   std::vector<Finish> Ends;
 
@@ -71,7 +72,7 @@
   void start() {
     std::make_shared<Exchange>(Request, Reply, Client, Hooks)->start();
   }
-  /// Runs it to its end.
+  /// Runs the exchange to its end.
   void run() {
     start();
     REQUIRE(finish());
@@ -79,23 +80,24 @@
   bool finish() {
     return until([this] { return !Ends.empty(); });
   }
-  /// Lets all timers that are set now come due.
+  /// Runs all timers that are set now.
   void fire() {
     for (auto &call : std::exchange(Timers, {}))
       call();
   }
-  /// Nothing is held any more: slots, register.
-  bool allGivenBack() const {
-    return GivenBack.size() == Asked.size() && Register.empty();
+  /// Whether all slots are released and no request is registered.
+  bool allReleased() const {
+    return Released.size() == AdmitRequests.size() && Registered.empty();
   }
 
 private:
   void setHooks() {
-    Hooks->Ask = [this](const AdmitRequest &request, Admission::OnReply reply) {
-      Asked.push_back(request);
-      // An answer that was given is not kept, as an owner keeps none.
+    Hooks->RequestAdmission = [this](const AdmitRequest &request,
+                                     Admission::OnReply reply) {
+      AdmitRequests.push_back(request);
+      // The callback of an answered request is not kept, as in an owner.
       if (HoldAdmissions)
-        AskReplies.push_back(reply);
+        AdmitReplies.push_back(reply);
       auto answer = grant();
       if (!Admissions.empty()) {
         answer = Admissions.front();
@@ -104,17 +106,18 @@
       if (!HoldAdmissions)
         asio::post(Context, [reply, answer] { reply(answer); });
       return std::make_shared<AdmissionTicket>(
-          [this](Outcome outcome) { GivenBack.push_back(outcome); });
+          [this](Outcome outcome) { Released.push_back(outcome); });
     };
     Hooks->Register = [this](const RegisteredRequest &request) {
-      return request.Admitted >= Promised && Register.insert(request.Id).second;
+      return request.Admitted >= MinEpoch &&
+             Registered.insert(request.Id).second;
     };
     Hooks->Unregister = [this](const RegisteredRequest &request) {
-      Register.erase(request.Id);
+      Registered.erase(request.Id);
     };
     Hooks->Claim = [this](const ExchangeRequest &, ClaimStore::OnAnswer done) {
-      if (ClaimGiven)
-        return done(*ClaimGiven);
+      if (ClaimResponse)
+        return done(*ClaimResponse);
       Claims.push_back(std::move(done));
     };
     Hooks->RecordOutcome = [this](const ClaimTicket &, Outcome outcome) {
@@ -127,7 +130,7 @@
       Timers.push_back(std::move(call));
     };
     Hooks->OnEnd = [this](const ExchangeEnd &end) {
-      Ends.push_back({end.Ended, end.Reason, end.Gone});
+      Ends.push_back({end.Result, end.Reason, end.CallerDisconnected});
     };
   }
 };
--- a/UnitTests/Node/ExchangeTest.cpp
+++ b/UnitTests/Node/ExchangeTest.cpp
@@ -6,20 +6,22 @@
 
 namespace {
 
-const Act Good = answerOf(200, WholeBody);
-const Act Short =
+const ScriptedAnswer WholeAnswer = answerOf(200, WholeBody);
+const ScriptedAnswer UnfinishedAnswer =
     answerOf(200, R"({"choices":[{"text":"ans","finish_reason":null}]})");
-const Act Refused = answerOf(503, "busy");
-const Act CutBeforeHead{"", true};
-const Act CutInHead{"HTTP/1.1 200 OK\r\nContent-Le", true};
-const Act CutInBody{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nansw", true};
-const Act EventsBegin{"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-                      "Content-Length: 40\r\n\r\ndata: a\n\n"};
+const ScriptedAnswer Refused = answerOf(503, "busy");
+const ScriptedAnswer CutBeforeHead{"", true};
+const ScriptedAnswer CutInHead{"HTTP/1.1 200 OK\r\nContent-Le", true};
+const ScriptedAnswer CutInBody{
+    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nansw", true};
+const ScriptedAnswer StreamStart{
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+    "Content-Length: 40\r\n\r\ndata: a\n\n"};
 
-Act foreign(const Act &act) {
-  auto at = act.Bytes.find("\r\n") + 2;
-  auto bytes = act.Bytes;
-  return {bytes.insert(at, "X-Request-Id: r2\r\n"), act.Close};
+ScriptedAnswer withOtherId(const ScriptedAnswer &answer) {
+  auto at = answer.Bytes.find("\r\n") + 2;
+  auto bytes = answer.Bytes;
+  return {bytes.insert(at, "X-Request-Id: r2\r\n"), answer.Close};
 }
 
 auto alwaysRetry = [](const FailedAttempt &it) {
@@ -30,46 +32,51 @@
 
 } // namespace
 
-TEST_CASE("each way that attempts end has its outcome and its repeats",
+TEST_CASE("each way that attempts end gives its outcome and number of attempts",
           "[exchange]") {
   struct Case {
     std::string Name;
     bool Repeatable;
-    std::deque<Act> Acts;
+    std::deque<ScriptedAnswer> Answers;
     int Status;
     std::string Ended;
     std::size_t Attempts;
   };
   std::vector<Case> cases{
-      {"whole", false, {Good}, 200, "complete", 1},
-      {"an error of the endpoint's own",
+      {"whole", false, {WholeAnswer}, 200, "complete", 1},
+      {"an error status of the endpoint",
        true,
        {answerOf(500, "broken")},
        500,
        "complete",
        1},
-      {"short of its end", false, {Short}, 502, "unknown", 1},
-      {"short of its end, repeatable", true, {Short, Good}, 200, "complete", 2},
-      {"refused once", false, {Refused, Good}, 200, "complete", 2},
+      {"unfinished completion", false, {UnfinishedAnswer}, 502, "unknown", 1},
+      {"unfinished completion, repeatable",
+       true,
+       {UnfinishedAnswer, WholeAnswer},
+       200,
+       "complete",
+       2},
+      {"refused once", false, {Refused, WholeAnswer}, 200, "complete", 2},
       {"refused always", false, {Refused, Refused, Refused}, 503, "not-run", 3},
       {"cut before the head", false, {CutBeforeHead}, 502, "unknown", 1},
       {"cut in the head", false, {CutInHead}, 502, "unknown", 1},
       {"cut in the body", false, {CutInBody}, 502, "unknown", 1},
       {"cut before the head, repeatable",
        true,
-       {CutBeforeHead, Good},
+       {CutBeforeHead, WholeAnswer},
        200,
        "complete",
        2},
       {"cut in the head, repeatable",
        true,
-       {CutInHead, Good},
+       {CutInHead, WholeAnswer},
        200,
        "complete",
        2},
       {"cut in the body, repeatable",
        true,
-       {CutInBody, Good},
+       {CutInBody, WholeAnswer},
        200,
        "complete",
        2},
@@ -79,10 +86,15 @@
        503,
        "unknown",
        3},
-      {"another request's answer", false, {foreign(Good)}, 502, "unknown", 1},
-      {"another request's answer, repeatable",
+      {"answer with another request's id",
+       false,
+       {withOtherId(WholeAnswer)},
+       502,
+       "unknown",
+       1},
+      {"answer with another request's id, repeatable",
        true,
-       {foreign(Good), Good},
+       {withOtherId(WholeAnswer), WholeAnswer},
        200,
        "complete",
        2}};
@@ -90,30 +102,32 @@
     CAPTURE(it.Name);
     ExchangeRig rig;
     rig.Request.Repeatable = it.Repeatable;
-    rig.Engine.Acts = it.Acts;
+    rig.Engine.Answers = it.Answers;
     rig.run();
-    CHECK(rig.Reply->Begun == 1);
+    CHECK(rig.Reply->Starts == 1);
     CHECK(rig.Reply->Ended);
     CHECK(rig.Reply->Status == it.Status);
     CHECK(rig.Reply->outcome() == it.Ended);
-    CHECK(outcomeName(rig.Ends[0].Ended) == it.Ended);
+    CHECK(outcomeName(rig.Ends[0].Result) == it.Ended);
     CHECK(rig.Engine.Requests.size() == it.Attempts);
     CHECK((it.Status != 200 || rig.Reply->Body == WholeBody));
-    CHECK(rig.allGivenBack());
+    CHECK(rig.allReleased());
   }
 }
 
-TEST_CASE("without the retry policy a request that must not run twice does",
+TEST_CASE("without the retry policy a request that must not run twice is sent "
+          "twice",
           "[exchange]") {
   ExchangeRig rig;
   rig.Request.Repeatable = false;
-  rig.Engine.Acts = {CutInBody, Good};
+  rig.Engine.Answers = {CutInBody, WholeAnswer};
   rig.Hooks->MayRetry = alwaysRetry;
   rig.run();
   CHECK(rig.Engine.Requests.size() == 2);
 }
 
-TEST_CASE("a port that nobody listens on is not run", "[exchange]") {
+TEST_CASE("an attempt at a port that nobody listens on counts as not run",
+          "[exchange]") {
   ExchangeRig rig;
   auto dead = rig.grant();
   dead.Address = Loopback::address(rig.deadPort());
@@ -121,32 +135,32 @@
   rig.Request.Repeatable = false;
   rig.run();
   CHECK(rig.Reply->Status == 200);
-  CHECK(rig.GivenBack.front() == Outcome::NotRun);
+  CHECK(rig.Released.front() == Outcome::NotRun);
 }
 
-TEST_CASE("a stream goes to its caller whole, with its outcome at its end",
+TEST_CASE("a stream is forwarded whole, with its outcome at its end",
           "[exchange]") {
   ExchangeRig rig;
   rig.Request.Stream = true;
-  rig.Engine.Acts = {EventsBegin};
+  rig.Engine.Answers = {StreamStart};
   rig.start();
   REQUIRE(rig.until([&] { return rig.Reply->Body == "data: a\n\n"; }));
   CHECK(rig.Ends.empty());
-  CHECK(rig.Register.size() == 1);
+  CHECK(rig.Registered.size() == 1);
   rig.Engine.send({':' + std::string(14, '-') + "\n\ndata: [DONE]\n\n"});
   REQUIRE(rig.finish());
   CHECK(rig.Reply->Ended);
   CHECK(rig.Reply->Body.find("\"outcome\":\"complete\"") != std::string::npos);
-  CHECK(rig.allGivenBack());
+  CHECK(rig.allReleased());
 }
 
-TEST_CASE("a stream whose first byte has passed is not begun again",
+TEST_CASE("a stream is not retried after its first byte was forwarded",
           "[exchange]") {
   for (bool policy : {true, false}) {
     CAPTURE(policy);
     ExchangeRig rig;
     rig.Request.Stream = true;
-    rig.Engine.Acts = {{EventsBegin.Bytes, true}, {EventsBegin.Bytes, true}};
+    rig.Engine.Answers = {{StreamStart.Bytes, true}, {StreamStart.Bytes, true}};
     if (!policy)
       rig.Hooks->MayRetry = [n = 0](const FailedAttempt &) mutable {
         return n++ ? RetryVerdict::AttemptsSpent : RetryVerdict::Retry;
@@ -161,19 +175,21 @@
   }
 }
 
-TEST_CASE("a stream without its end is not complete", "[exchange]") {
+TEST_CASE("a stream without its final event has the outcome unknown",
+          "[exchange]") {
   ExchangeRig rig;
   rig.Request.Stream = true;
   rig.Request.Repeatable = false;
-  rig.Engine.Acts = {answerOf(200, "data: a\n\ndata: torn")};
+  rig.Engine.Answers = {answerOf(200, "data: a\n\ndata: torn")};
   rig.run();
-  CHECK(rig.Ends[0].Ended == Outcome::Unknown);
+  CHECK(rig.Ends[0].Result == Outcome::Unknown);
   CHECK(rig.Reply->Body.find("torn") == std::string::npos);
   CHECK(rig.Reply->Body.find("\"outcome\":\"unknown\"") != std::string::npos);
 }
 
-TEST_CASE("what a plain service's status means is its own affair",
-          "[exchange]") {
+TEST_CASE(
+    "a plain service's status does not prove that the request was not run",
+    "[exchange]") {
   struct Case {
     int Status;
     std::string Fields;
@@ -192,48 +208,48 @@
     ExchangeRig rig;
     rig.Request.Admit.Adapter.clear();
     rig.Request.Repeatable = false;
-    auto act = answerOf(it.Status, "seat", it.Fields);
-    rig.Engine.Acts = {act, act, act};
+    auto answer = answerOf(it.Status, "seat", it.Fields);
+    rig.Engine.Answers = {answer, answer, answer};
     rig.run();
-    CHECK(rig.Ends[0].Ended == it.Ended);
+    CHECK(rig.Ends[0].Result == it.Ended);
     CHECK(rig.Engine.Requests.size() == it.Attempts);
     CHECK(rig.Reply->Status == it.Status);
   }
 }
 
-TEST_CASE("a long answer that breaks off is broken off for its caller",
+TEST_CASE("a long answer that breaks off is aborted for its caller",
           "[exchange]") {
   ExchangeRig rig;
   rig.Request.Repeatable = false;
-  rig.Engine.Acts = {{"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" +
-                          std::string(600000, 'x'),
-                      true}};
+  rig.Engine.Answers = {{"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" +
+                             std::string(600000, 'x'),
+                         true}};
   rig.run();
   CHECK(rig.Reply->Aborted);
-  CHECK(rig.Ends[0].Ended == Outcome::Unknown);
+  CHECK(rig.Ends[0].Result == Outcome::Unknown);
 }
 
-TEST_CASE("parts of another request's stream are never passed on",
+TEST_CASE("parts of another request's stream are never forwarded",
           "[exchange]") {
-  // Without the mark there is nothing to tell it by.
+  // Without the request id in the answer it can't be recognized.
   for (bool marked : {true, false}) {
     ExchangeRig rig;
     rig.Request.Stream = true;
     rig.Request.Repeatable = false;
-    auto act = answerOf(200, "data: theirs\n\ndata: [DONE]\n\n");
-    rig.Engine.Acts = {marked ? foreign(act) : act};
+    auto answer = answerOf(200, "data: theirs\n\ndata: [DONE]\n\n");
+    rig.Engine.Answers = {marked ? withOtherId(answer) : answer};
     rig.run();
     bool passed = rig.Reply->Body.find("theirs") != std::string::npos;
     CHECK(passed == !marked);
-    CHECK((rig.Ends[0].Ended == Outcome::Unknown) == marked);
+    CHECK((rig.Ends[0].Result == Outcome::Unknown) == marked);
   }
 }
 
-TEST_CASE("what a claim's answer means for its request", "[exchange]") {
+TEST_CASE("each result of a claim gives its status and outcome", "[exchange]") {
   struct Case {
     ClaimResult Result;
     int Status;
-    std::string Told;
+    std::string ExpectedOutcome;
     std::string Id;
   };
   for (const auto &it :
@@ -246,24 +262,24 @@
     ExchangeRig rig;
     rig.Request.IdempotencyKey = "k";
     rig.Request.Repeatable = false;
-    rig.ClaimGiven.emplace();
-    rig.ClaimGiven->Result = it.Result;
-    rig.ClaimGiven->Recorded = Outcome::Complete;
-    rig.ClaimGiven->RequestId = "r0";
+    rig.ClaimResponse.emplace();
+    rig.ClaimResponse->Result = it.Result;
+    rig.ClaimResponse->Recorded = Outcome::Complete;
+    rig.ClaimResponse->RequestId = "r0";
     rig.run();
     bool claimed = it.Result == ClaimResult::Claimed;
     CHECK(rig.Reply->Status == it.Status);
-    CHECK(rig.Reply->outcome() == it.Told);
+    CHECK(rig.Reply->outcome() == it.ExpectedOutcome);
     CHECK(rig.Reply->field(header::RequestId) == it.Id);
     CHECK(rig.Reply->field("Retry-After") == (it.Status == 503 ? "5" : ""));
     CHECK(rig.Engine.Requests.size() == (claimed ? 1 : 0));
     CHECK(rig.Recorded.size() == (claimed ? 1 : 0));
-    CHECK(rig.allGivenBack());
+    CHECK(rig.allReleased());
   }
 }
 
-TEST_CASE("one key runs once, whatever the entry", "[exchange]") {
-  // Without the comparison of versions in the table both win the claim.
+TEST_CASE("one idempotency key runs once across entries", "[exchange]") {
+  // Without the comparison of versions in the table both claims succeed.
   for (bool compares : {true, false}) {
     CAPTURE(compares);
     VirtualTime time;
@@ -277,20 +293,20 @@
     std::size_t runs = 0;
     std::vector<int> statuses;
     std::vector<std::unique_ptr<ExchangeRig>> rigs;
-    std::vector<std::shared_ptr<ClaimStore>> books;
+    std::vector<std::shared_ptr<ClaimStore>> stores;
     for (int it = 0; it < 2; ++it) {
-      books.push_back(std::make_shared<ClaimStore>(
+      stores.push_back(std::make_shared<ClaimStore>(
           ClaimSettings{}, "node-" + std::to_string(it), table.hooks(), hooks));
       auto &rig = *rigs.emplace_back(std::make_unique<ExchangeRig>());
       rig.Request.IdempotencyKey = "k";
       rig.Request.Id = "r" + std::to_string(it);
-      rig.Hooks->Claim = [book = books.back()](const ExchangeRequest &request,
-                                               ClaimStore::OnAnswer done) {
-        book->claim({"s", request.IdempotencyKey, request.Body, request.Id},
-                    std::move(done));
+      rig.Hooks->Claim = [store = stores.back()](const ExchangeRequest &request,
+                                                 ClaimStore::OnAnswer done) {
+        store->claim({"s", request.IdempotencyKey, request.Body, request.Id},
+                     std::move(done));
       };
       rig.start();
-      REQUIRE(rig.until([&] { return !rig.Register.empty(); }));
+      REQUIRE(rig.until([&] { return !rig.Registered.empty(); }));
     }
     time.advance(std::chrono::seconds(1));
     for (auto &rig : rigs) {
@@ -304,32 +320,32 @@
   }
 }
 
-TEST_CASE("a caller who leaves while it waits gives its place back",
+TEST_CASE("a caller that disconnects while it waits releases its slot",
           "[exchange]") {
   ExchangeRig rig;
   rig.HoldAdmissions = true;
   rig.start();
-  rig.Reply->leave();
+  rig.Reply->disconnect();
   REQUIRE(rig.Ends.size() == 1);
-  CHECK(rig.Ends[0].Gone);
-  CHECK(rig.Ends[0].Ended == Outcome::NotRun);
-  CHECK(rig.allGivenBack());
-  // A grant that was on its way finds nobody.
-  rig.AskReplies[0](rig.grant());
+  CHECK(rig.Ends[0].CallerDisconnected);
+  CHECK(rig.Ends[0].Result == Outcome::NotRun);
+  CHECK(rig.allReleased());
+  // A grant that arrives later has no effect.
+  rig.AdmitReplies[0](rig.grant());
   rig.settle();
-  CHECK(rig.Register.empty());
+  CHECK(rig.Registered.empty());
   CHECK(rig.Engine.Requests.empty());
 }
 
-TEST_CASE("a caller who leaves while its key is claimed sends nothing",
+TEST_CASE("nothing is sent for a caller that disconnects during its claim",
           "[exchange]") {
   ExchangeRig rig;
   rig.Request.IdempotencyKey = "k";
   rig.start();
   REQUIRE(rig.until([&] { return !rig.Claims.empty(); }));
-  rig.Reply->leave();
-  CHECK(rig.Ends[0].Ended == Outcome::NotRun);
-  CHECK(rig.allGivenBack());
+  rig.Reply->disconnect();
+  CHECK(rig.Ends[0].Result == Outcome::NotRun);
+  CHECK(rig.allReleased());
   CHECK(rig.Recorded.empty());
   ClaimAnswer answer;
   answer.Result = ClaimResult::Claimed;
@@ -340,25 +356,25 @@
   CHECK(rig.Ends.size() == 1);
 }
 
-TEST_CASE("a caller who leaves while its answer comes ends the transfer",
+TEST_CASE("the transfer is cancelled when the caller disconnects during it",
           "[exchange]") {
   ExchangeRig rig;
   rig.Request.Stream = true;
   rig.Request.IdempotencyKey = "k";
-  rig.ClaimGiven.emplace().Result = ClaimResult::Claimed;
-  rig.Engine.Acts = {EventsBegin};
+  rig.ClaimResponse.emplace().Result = ClaimResult::Claimed;
+  rig.Engine.Answers = {StreamStart};
   rig.start();
   REQUIRE(rig.until([&] { return !rig.Reply->Body.empty(); }));
-  rig.Reply->leave();
-  CHECK(rig.Ends[0].Gone);
-  CHECK(rig.Ends[0].Ended == Outcome::Unknown);
+  rig.Reply->disconnect();
+  CHECK(rig.Ends[0].CallerDisconnected);
+  CHECK(rig.Ends[0].Result == Outcome::Unknown);
   CHECK(rig.Recorded == std::vector{Outcome::Unknown});
-  CHECK(rig.allGivenBack());
+  CHECK(rig.allReleased());
   CHECK(rig.until([&] { return rig.Engine.Closed == 1; }));
   CHECK(rig.Ends.size() == 1);
 }
 
-TEST_CASE("an owner that is lost while a request waits is asked again",
+TEST_CASE("admission is requested again after the owner is lost",
           "[exchange]") {
   for (const auto *reason : {"owner-lost", "no-owner", "not-owner"}) {
     ExchangeRig rig;
@@ -366,18 +382,18 @@
     rig.start();
     REQUIRE(rig.until([&] { return !rig.Timers.empty(); }));
     rig.settle(1);
-    CHECK(rig.Reply->Begun == 0);
-    CHECK(rig.GivenBack.size() == 1);
+    CHECK(rig.Reply->Starts == 0);
+    CHECK(rig.Released.size() == 1);
     rig.fire();
     REQUIRE(rig.finish());
     CHECK(rig.Reply->Status == 200);
-    CHECK(rig.Asked.size() == 2);
-    CHECK(rig.Asked[1].DeadlineUs <= rig.Asked[0].DeadlineUs);
-    CHECK(rig.allGivenBack());
+    CHECK(rig.AdmitRequests.size() == 2);
+    CHECK(rig.AdmitRequests[1].DeadlineUs <= rig.AdmitRequests[0].DeadlineUs);
+    CHECK(rig.allReleased());
   }
 }
 
-TEST_CASE("an owner's refusal is passed on with its time to come back",
+TEST_CASE("an owner's refusal is forwarded with its Retry-After",
           "[exchange]") {
   ExchangeRig rig;
   rig.Admissions = {ExchangeRig::refusal("queue-full")};
@@ -389,13 +405,13 @@
   CHECK(rig.Engine.Requests.empty());
 }
 
-TEST_CASE("past its deadline a request is refused, not asked again",
+TEST_CASE("past its deadline a request is refused, not sent to an owner again",
           "[exchange]") {
   ExchangeRig rig;
   rig.Request.Deadline = TimerService::now() + std::chrono::milliseconds(200);
   rig.Admissions = {ExchangeRig::refusal("owner-lost")};
   rig.start();
-  REQUIRE(rig.until([&] { return !rig.GivenBack.empty(); }));
+  REQUIRE(rig.until([&] { return !rig.Released.empty(); }));
   while (TimerService::now() < rig.Request.Deadline)
     ;
   rig.fire();
@@ -404,11 +420,10 @@
   CHECK(rig.Reply->Status == 503);
   CHECK(rig.Reply->outcome() == "not-run");
   CHECK(rig.Reply->field("Retry-After") == "1");
-  CHECK(rig.Asked.size() == 1);
+  CHECK(rig.AdmitRequests.size() == 1);
 }
 
-TEST_CASE("an owner that never answers does not hold a request past its "
-          "deadline",
+TEST_CASE("a request whose owner never answers is refused at its deadline",
           "[exchange]") {
   ExchangeRig rig;
   rig.HoldAdmissions = true;
@@ -418,60 +433,60 @@
   CHECK(rig.Ends[0].Reason == "deadline-passed");
   CHECK(rig.Reply->Status == 503);
   CHECK(rig.Reply->outcome() == "not-run");
-  CHECK(rig.allGivenBack());
+  CHECK(rig.allReleased());
 }
 
-TEST_CASE("a late grant of an earlier asking is not used", "[exchange]") {
-  // Off: the late grant comes as if it answered the present asking.
+TEST_CASE("a late grant to an earlier admission request is not used",
+          "[exchange]") {
+  // Off: the late grant arrives as the answer to the current request.
   for (bool rounds : {true, false}) {
     CAPTURE(rounds);
     ExchangeRig rig;
     ScriptedEndpoint other{rig.Context};
     rig.HoldAdmissions = true;
     rig.start();
-    rig.AskReplies[0](ExchangeRig::refusal("owner-lost"));
+    rig.AdmitReplies[0](ExchangeRig::refusal("owner-lost"));
     rig.fire();
-    REQUIRE(rig.Asked.size() == 2);
+    REQUIRE(rig.AdmitRequests.size() == 2);
     auto late = rig.grant(2);
     late.Address = other.address();
-    rig.AskReplies[rounds ? 0 : 1](late);
+    rig.AdmitReplies[rounds ? 0 : 1](late);
     if (rounds)
-      rig.AskReplies[1](rig.grant());
+      rig.AdmitReplies[1](rig.grant());
     REQUIRE(rig.finish());
     CHECK(other.Requests.size() == (rounds ? 0 : 1));
     CHECK(rig.Engine.Requests.size() == (rounds ? 1 : 0));
-    CHECK(rig.allGivenBack());
+    CHECK(rig.allReleased());
   }
 }
 
-TEST_CASE("a grant of an owner that has been followed is not sent",
+TEST_CASE("nothing is sent under a grant of an owner that has been superseded",
           "[exchange]") {
   for (bool checked : {true, false}) {
     CAPTURE(checked);
     ExchangeRig rig;
     rig.Admissions = {rig.grant(2), rig.grant(3)};
-    rig.Promised = checked ? 3 : 0;
+    rig.MinEpoch = checked ? 3 : 0;
     rig.start();
-    REQUIRE(rig.until([&] { return !rig.GivenBack.empty(); }));
+    REQUIRE(rig.until([&] { return !rig.Released.empty(); }));
     CHECK(rig.Engine.Requests.empty() == checked);
     rig.fire();
     REQUIRE(rig.finish());
     auto fence = rig.Engine.Requests.back().find("X-Fencing-Epoch: 3");
     CHECK((fence != std::string::npos) == checked);
     CHECK(rig.Engine.Requests.size() == 1);
-    CHECK(rig.allGivenBack());
+    CHECK(rig.allReleased());
   }
 }
 
-TEST_CASE("a slow caller makes the endpoint wait, and loses nothing",
-          "[exchange]") {
+TEST_CASE("a slow caller pauses the transfer and loses nothing", "[exchange]") {
   constexpr std::size_t Limit = std::size_t{256} * 1024;
   std::string body;
   for (int it = 0; body.size() < 8 * Limit; ++it)
     body += std::to_string(it) + ',';
   ExchangeRig rig;
   rig.Reply->Slow = true;
-  rig.Engine.Acts = {answerOf(200, body)};
+  rig.Engine.Answers = {answerOf(200, body)};
   rig.start();
   REQUIRE(rig.until([&] { return rig.Reply->Unsent > Limit; }));
   rig.settle();
@@ -482,6 +497,6 @@
     return !rig.Ends.empty();
   }));
   CHECK(rig.Reply->Body == body);
-  CHECK(rig.Ends[0].Ended == Outcome::Complete);
-  CHECK(rig.Reply->MostUnsent <= 3 * Limit);
+  CHECK(rig.Ends[0].Result == Outcome::Complete);
+  CHECK(rig.Reply->MaxUnsent <= 3 * Limit);
 }
--- a/UnitTests/Node/FakeReply.h
+++ b/UnitTests/Node/FakeReply.h
@@ -6,21 +6,22 @@
 
 namespace hemlockglade::test {
 
-/// A caller's answer in memory. It tells what was sent, and can be slow or go
-/// away.
+/// A caller's answer in memory. It records what was sent, and can simulate a
+/// slow caller or one that disconnects.
 class FakeReply : public HttpReply {
 public:
   int Status = 0;
   HttpFields Fields;
   std::string Body;
-  /// Answers that were begun, whole or as a stream.
-  int Begun = 0;
+  /// Number of answers that were started, whole or as a stream.
+  int Starts = 0;
   bool Ended = false;
   bool Aborted = false;
-  /// Keeps back the word that parts went out, as a slow caller does.
+  /// Delays the notice that a part was sent until sendOne(), like a slow
+  /// caller.
   bool Slow = false;
   std::size_t Unsent = 0;
-  std::size_t MostUnsent = 0;
+  std::size_t MaxUnsent = 0;
 
   void sendWhole(int status, const HttpFields &fields,
                  std::string body) override {
@@ -29,7 +30,7 @@
     Ended = true;
   }
   void startStream(int status, const HttpFields &fields) override {
-    ++Begun;
+    ++Starts;
     Status = status;
     Fields = fields;
   }
@@ -38,14 +39,16 @@
     if (sent && !Slow)
       return sent(true);
     Unsent += part.size();
-    MostUnsent = std::max(MostUnsent, Unsent);
+    MaxUnsent = std::max(MaxUnsent, Unsent);
     Waiting.emplace_back(part.size(), std::move(sent));
   }
   void finishStream() override { Ended = true; }
   void abort() override { Ended = Aborted = true; }
-  void onGone(std::function<void()> gone) override { Gone = std::move(gone); }
+  void onGone(std::function<void()> handler) override {
+    OnDisconnect = std::move(handler);
+  }
 
-  /// One more part has gone out; false if none waits.
+  /// Reports the next part as sent; returns false if none waits.
   bool sendOne() {
     if (Waiting.empty())
       return false;
@@ -56,9 +59,10 @@
       sent(true);
     return true;
   }
-  void leave() {
-    if (auto gone = std::exchange(Gone, nullptr))
-      gone();
+  /// Simulates that the caller disconnects.
+  void disconnect() {
+    if (auto handler = std::exchange(OnDisconnect, nullptr))
+      handler();
   }
   std::string field(std::string_view name) const {
     for (const auto &[key, value] : Fields) {
@@ -70,7 +74,7 @@
   std::string outcome() const { return field(header::Outcome); }
 
 private:
-  std::function<void()> Gone;
+  std::function<void()> OnDisconnect;
   std::deque<std::pair<std::size_t, std::function<void(bool)>>> Waiting;
 };
 
--- a/UnitTests/Node/Gateway/GatewayTest.cpp
+++ b/UnitTests/Node/Gateway/GatewayTest.cpp
@@ -1,5 +1,5 @@
 #include "Programs/hemlockgladed/Gateway/GatewaySignals.h"
-#include "Programs/hemlockgladed/SignalHold.h"
+#include "Programs/hemlockgladed/SignalBlock.h"
 
 #include "UnitTests/Node/Gateway/GatewayRig.h"
 
@@ -191,13 +191,13 @@
 
 TEST_CASE("SIGTERM during the setup of a node stops it", "[gateway]") {
   GatewayFixture it;
-  SignalHold hold;
-  // Without the hold this ends the whole test program.
+  SignalBlock signalBlock;
+  // Without the block this ends the whole test program.
   ::raise(SIGTERM);
   ::raise(SIGHUP);
   it.start();
   GatewaySignals signals(it.Context, *it.Node, it.Log, "none");
-  hold.release();
+  signalBlock.release();
   CHECK(it.until([&] { return it.Stopped; }));
 }
 
--- a/UnitTests/Node/RecoveryTest.cpp
+++ b/UnitTests/Node/RecoveryTest.cpp
@@ -7,7 +7,8 @@
 
 constexpr const char *Cell = "assistant/0";
 
-/// A new owner of the cell, and a node that runs a request of the former one.
+/// A new owner of the cell, and a node that runs a request which the former
+/// owner admitted.
 struct Takeover : CellsRig {
   CellNode Entry{*this, "entry"};
   CellNode Owner{*this, "owner"};
@@ -15,7 +16,7 @@
 
   Takeover() {
     Engine.Loaded = {"a@1"};
-    REQUIRE(Entry.Cells.enter(running("r1")));
+    REQUIRE(Entry.Cells.registerRequest(running("r1")));
   }
   static RegisteredRequest running(const std::string &id, Epoch admitted = 3) {
     return {id, Cell, "e1", "a@1", admitted};
@@ -34,21 +35,21 @@
 TEST_CASE("a request of the former owner is adopted before anything is evicted",
           "[recovery]") {
   Takeover rig;
-  // Without recovery the new owner knows of nothing that runs.
+  // Without recovery the new owner doesn't know the running requests.
   CHECK(rig.Owner.Cells.modeOf(Cell) != LeaseMode::Held);
   rig.Runner = rig.Owner.own(4);
   CHECK(rig.Owner.Cells.modeOf(Cell) == LeaseMode::Recovering);
   REQUIRE(rig.recovered());
   CHECK(rig.adopted(1));
-  // The former owner's grants can't begin any more.
-  CHECK_FALSE(rig.Entry.Cells.enter(Takeover::running("r2", 3)));
-  CHECK(rig.Entry.Cells.enter(Takeover::running("r3", 4)));
-  // Its end frees the slot.
-  rig.Entry.Cells.leave(Takeover::running("r1"));
+  // Requests with a grant of the former owner can't start any more.
+  CHECK_FALSE(rig.Entry.Cells.registerRequest(Takeover::running("r2", 3)));
+  CHECK(rig.Entry.Cells.registerRequest(Takeover::running("r3", 4)));
+  // The end of the request releases its slot.
+  rig.Entry.Cells.unregisterRequest(Takeover::running("r1"));
   CHECK(rig.adopted(0));
 }
 
-TEST_CASE("an owner of an older epoch is refused, and never holds the cell",
+TEST_CASE("an owner of an older epoch is refused and its cell is never Held",
           "[recovery]") {
   for (bool newer : {true, false}) {
     CAPTURE(newer);
@@ -72,10 +73,12 @@
   }
 }
 
-TEST_CASE("a request that ends while its stream is broken is heard of later",
-          "[recovery]") {
+TEST_CASE(
+    "a request that ends while its stream is broken is released after the "
+    "stream reopens",
+    "[recovery]") {
   Takeover rig;
-  rig.Entry.Cells.enter(Takeover::running("r2"));
+  rig.Entry.Cells.registerRequest(Takeover::running("r2"));
   rig.Runner = rig.Owner.own(4);
   REQUIRE(rig.recovered());
   REQUIRE(rig.adopted(2));
@@ -83,18 +86,17 @@
     stream->close();
   REQUIRE(rig.Owner.until([&] { return !rig.Timers.empty(); }));
   rig.Entry.Streams.clear();
-  rig.Entry.Cells.leave(Takeover::running("r1"));
+  rig.Entry.Cells.unregisterRequest(Takeover::running("r1"));
   rig.settle();
-  // Until the stream is opened again nothing is known of it.
+  // The end is not known until the stream is opened again.
   CHECK(rig.Runner->running() == 2);
   rig.fire();
   CHECK(rig.adopted(1));
-  rig.Entry.Cells.leave(Takeover::running("r2"));
+  rig.Entry.Cells.unregisterRequest(Takeover::running("r2"));
   CHECK(rig.adopted(0));
 }
 
-TEST_CASE("a refusal of a stream that is opened again ends nothing",
-          "[recovery]") {
+TEST_CASE("a refusal on a reopened stream ends no request", "[recovery]") {
   Takeover rig;
   rig.Runner = rig.Owner.own(4);
   REQUIRE(rig.recovered());
@@ -113,6 +115,6 @@
   REQUIRE(rig.Owner.until([&] { return rig.Entry.Streams.size() > seen; }));
   REQUIRE(rig.Owner.until(
       [&] { return rig.Owner.Cells.modeOf(Cell) != LeaseMode::Held; }));
-  // The request runs, whoever owns the cell.
+  // The request still runs, whichever node owns the cell.
   CHECK(rig.Runner->running() == 1);
 }
--- a/UnitTests/Node/ScriptedEndpoint.h
+++ b/UnitTests/Node/ScriptedEndpoint.h
@@ -6,26 +6,26 @@
 
 namespace hemlockglade::test {
 
-/// What an endpoint does with one request: the bytes that it answers, and
-/// whether it then closes the connection.
-struct Act {
+/// An endpoint's reaction to one request: the bytes of its answer, and whether
+/// it then closes the connection.
+struct ScriptedAnswer {
   std::string Bytes;
   bool Close = false;
 };
 
-/// A whole HTTP answer.
-/// The body of an engine's whole answer.
+/// The body of an engine's whole completion.
 inline const std::string WholeBody =
     R"({"choices":[{"text":"answer","finish_reason":"stop"}]})";
 
-inline Act answerOf(int status, const std::string &body,
-                    const std::string &fields = "") {
+/// Returns a whole HTTP answer. `fields` are header lines that end in CRLF.
+inline ScriptedAnswer answerOf(int status, const std::string &body,
+                               const std::string &fields = "") {
   return {"HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: " +
           std::to_string(body.size()) + "\r\n" + fields + "\r\n" + body};
 }
 
-/// An endpoint that does what a script says, byte for byte. Each request that
-/// has arrived whole is asked of `OnRequest`.
+/// An HTTP endpoint that answers with scripted bytes. `OnRequest` is called for
+/// each request that has arrived whole and returns the answer.
 class ScriptedEndpoint {
 public:
   explicit ScriptedEndpoint(asio::io_context &context)
@@ -42,19 +42,21 @@
 
   /// Requests that arrived whole, head and body.
   std::vector<std::string> Requests;
-  /// Connections that the other side has closed.
+  /// Number of connections that the peer has closed.
   std::size_t Closed = 0;
-  std::function<Act(const std::string &request)> OnRequest = [this](auto &) {
-    if (Acts.empty())
-      return answerOf(200, WholeBody);
-    auto act = std::move(Acts.front());
-    Acts.pop_front();
-    return act;
-  };
-  /// What is done with the next requests, if `OnRequest` is left as it is.
-  std::deque<Act> Acts;
+  std::function<ScriptedAnswer(const std::string &request)> OnRequest =
+      [this](auto &) {
+        if (Answers.empty())
+          return answerOf(200, WholeBody);
+        auto answer = std::move(Answers.front());
+        Answers.pop_front();
+        return answer;
+      };
+  /// Answers to the next requests, unless `OnRequest` is replaced; a whole
+  /// completion once they are used up.
+  std::deque<ScriptedAnswer> Answers;
 
-  /// Requests whose first line holds the text.
+  /// Returns the number of requests whose first line contains the text.
   std::size_t count(std::string_view text) const {
     return static_cast<std::size_t>(
         std::count_if(Requests.begin(), Requests.end(), [&](const auto &it) {
@@ -70,13 +72,13 @@
   };
   using SessionPtr = std::shared_ptr<Session>;
 
-  /// The connection that asked last.
+  /// Returns the connection of the last whole request.
   SessionPtr last() const { return Last; }
-  /// Sends more on a connection.
-  void send(Act act, const SessionPtr &session) {
-    write(session, std::move(act));
+  /// Sends further bytes on a connection, by default on that of last().
+  void send(ScriptedAnswer answer, const SessionPtr &session) {
+    write(session, std::move(answer));
   }
-  void send(Act act) { write(Last, std::move(act)); }
+  void send(ScriptedAnswer answer) { write(Last, std::move(answer)); }
 
 private:
   void accept() {
@@ -100,12 +102,12 @@
             return;
           }
           session->Text.append(session->Buffer.data(), n);
-          take(session);
+          handleRequest(session);
           if (session->Socket.is_open())
             read(session);
         });
   }
-  void take(const SessionPtr &session) {
+  void handleRequest(const SessionPtr &session) {
     auto &text = session->Text;
     auto head = text.find("\r\n\r\n");
     if (head == std::string::npos)
@@ -122,12 +124,12 @@
     Last = session;
     write(session, OnRequest(Requests.back()));
   }
-  void write(const SessionPtr &session, Act act) {
-    auto held = std::make_shared<Act>(std::move(act));
-    asio::async_write(session->Socket, asio::buffer(held->Bytes),
-                      [held, session](asio::error_code, std::size_t) {
+  void write(const SessionPtr &session, ScriptedAnswer answer) {
+    auto sent = std::make_shared<ScriptedAnswer>(std::move(answer));
+    asio::async_write(session->Socket, asio::buffer(sent->Bytes),
+                      [sent, session](asio::error_code, std::size_t) {
                         asio::error_code ec;
-                        if (held->Close)
+                        if (sent->Close)
                           session->Socket.close(ec);
                       });
   }
