--- a/Hemlockglade/Coordination/Membership/MemberTable.cpp
+++ b/Hemlockglade/Coordination/Membership/MemberTable.cpp
@@ -27,71 +27,73 @@
   return hashOf(it.Owner, hashOf(it.Cell, it.Fence));
 }
 
-std::size_t partOf(const std::string &name) {
-  return hashOf(name) % MemberTable::PartCount;
+std::size_t bucketOf(const std::string &name) {
+  return hashOf(name) % MemberTable::BucketCount;
 }
 
 } // namespace
 
-void MemberTable::put(Member &member, const MemberRecord &record,
-                      MemberState state, Instant now) {
+void MemberTable::setRecord(Member &member, const MemberRecord &record,
+                            MemberState state, Instant now) {
   LiveCount -= isLive(member.Record.State);
   LiveCount += isLive(state);
   if (member.Record.State != state)
-    member.Since = now;
+    member.StateSince = now;
   member.Record = record;
   member.Record.State = state;
 }
 
-MemberTable::News MemberTable::merge(const MemberRecord &record, Instant now) {
+MemberTable::MergeResult MemberTable::merge(const MemberRecord &record,
+                                            Instant now) {
   auto it = Members.find(record.Name);
   if (it == Members.end()) {
-    // The dead are forgotten at different times; they don't come back.
+    // Nodes erase dead members at different times; one that this node has
+    // erased must not be added again.
     if (!isLive(record.State) || Members.size() >= Settings.MaxMembers)
-      return News::Nothing;
+      return MergeResult::Ignored;
     Members.emplace(record.Name, Member{record, now, 0});
     ++LiveCount;
-    return News::Changed;
+    return MergeResult::Changed;
   }
   auto &known = it->second;
   auto old = known.Record.State;
   if (record.Incarnation < known.Record.Incarnation)
-    return News::Nothing;
+    return MergeResult::Ignored;
   bool newer = record.Incarnation > known.Record.Incarnation;
-  // Nobody is dead here by hearsay: it is asked first.
+  // Another node's report alone never marks a member dead: it is probed first.
   if (record.State == MemberState::Dead)
-    return isLive(old) ? News::Doubtful : News::Nothing;
+    return isLive(old) ? MergeResult::MustProbe : MergeResult::Ignored;
   if (!newer && old == MemberState::Dead && record.State == MemberState::Alive)
-    return News::Doubtful;
+    return MergeResult::MustProbe;
   if (!newer && record.State <= old)
-    return News::Nothing;
-  put(known, record, record.State, now);
-  return News::Changed;
+    return MergeResult::Ignored;
+  setRecord(known, record, record.State, now);
+  return MergeResult::Changed;
 }
 
-MemberTable::News MemberTable::merge(const CellOwner &cell) {
+MemberTable::MergeResult MemberTable::merge(const CellOwner &cell) {
   auto it = Cells.find(cell.Cell);
   if (it == Cells.end()) {
     if (Cells.size() >= Settings.MaxCells)
-      return News::Nothing;
+      return MergeResult::Ignored;
     Cells.emplace(cell.Cell, cell);
-    return News::Changed;
+    return MergeResult::Changed;
   }
   auto &known = it->second;
-  // At one epoch the owner can only be given up.
+  // Within one epoch the only change possible is the owner's release.
   bool released =
       cell.Fence == known.Fence && cell.Owner.empty() && !known.Owner.empty();
   if (cell.Fence <= known.Fence && !released)
-    return News::Nothing;
+    return MergeResult::Ignored;
   known = cell;
-  return News::Changed;
+  return MergeResult::Changed;
 }
 
 bool MemberTable::suspect(const std::string &name, Instant now) {
   auto it = Members.find(name);
   if (it == Members.end() || it->second.Record.State != MemberState::Alive)
     return false;
-  put(it->second, it->second.Record, MemberState::Suspect, now);
+  setRecord(it->second, it->second.Record, MemberState::Suspect, now);
   return true;
 }
 
@@ -104,13 +106,13 @@
   auto suspectUntil = suspectTime();
   for (auto it = Members.begin(); it != Members.end();) {
     auto &member = it->second;
-    auto age = now - member.Since;
+    auto age = now - member.StateSince;
     auto state = member.Record.State;
     if (state == MemberState::Suspect && age >= suspectUntil) {
-      put(member, member.Record, MemberState::Dead, now);
+      setRecord(member, member.Record, MemberState::Dead, now);
       dead.push_back(member.Record);
     }
-    bool forget = !isLive(state) && age >= Settings.KeepDead;
+    bool forget = !isLive(state) && age >= Settings.DeadRetention;
     it = forget ? Members.erase(it) : std::next(it);
   }
   return dead;
@@ -118,7 +120,7 @@
 
 void MemberTable::postpone(Span span) {
   for (auto &[name, member] : Members)
-    member.Since += span;
+    member.StateSince += span;
 }
 
 void MemberTable::setInForce(const std::string &name, Revision revision) {
@@ -161,14 +163,14 @@
 }
 
 std::vector<std::uint64_t> MemberTable::hashes(const MemberRecord &self) const {
-  std::vector<std::uint64_t> out(2 * PartCount);
-  out[partOf(self.Name)] ^= hashOf(self);
+  std::vector<std::uint64_t> out(2 * BucketCount);
+  out[bucketOf(self.Name)] ^= hashOf(self);
   for (const auto &[name, it] : Members) {
     if (isLive(it.Record.State))
-      out[partOf(name)] ^= hashOf(it.Record);
+      out[bucketOf(name)] ^= hashOf(it.Record);
   }
   for (const auto &[name, it] : Cells)
-    out[PartCount + partOf(name)] ^= hashOf(it);
+    out[BucketCount + bucketOf(name)] ^= hashOf(it);
   return out;
 }
 
@@ -176,21 +178,21 @@
                                const std::vector<std::uint64_t> &hashes,
                                std::size_t bytes, MemberMessage &message) {
   auto own = this->hashes(self);
-  std::vector<std::size_t> parts(own.size());
-  std::iota(parts.begin(), parts.end(), 0);
-  std::shuffle(parts.begin(), parts.end(), Random);
-  for (auto part : parts) {
-    bool same = part < hashes.size() && hashes[part] == own[part];
-    if (!same && !addPart(part, bytes, message))
+  std::vector<std::size_t> buckets(own.size());
+  std::iota(buckets.begin(), buckets.end(), 0);
+  std::shuffle(buckets.begin(), buckets.end(), Random);
+  for (auto bucket : buckets) {
+    bool same = bucket < hashes.size() && hashes[bucket] == own[bucket];
+    if (!same && !addBucket(bucket, bytes, message))
       return true;
   }
   return false;
 }
 
-bool MemberTable::addPart(std::size_t part, std::size_t &left,
-                          MemberMessage &message) {
-  // In an order of their own each time, so that a part that never fits gets
-  // across all the same.
+bool MemberTable::addBucket(std::size_t bucket, std::size_t &left,
+                            MemberMessage &message) {
+  // In random order, so that over several exchanges all records are sent of a
+  // bucket that is too large for one message.
   auto add = [&](auto &records, auto &list) {
     std::shuffle(records.begin(), records.end(), Random);
     for (const auto *it : records) {
@@ -204,12 +206,12 @@
   };
   std::vector<const MemberRecord *> members;
   for (const auto &[name, it] : Members) {
-    if (partOf(name) == part)
+    if (bucketOf(name) == bucket)
       members.push_back(&it.Record);
   }
   std::vector<const CellOwner *> cells;
   for (const auto &[name, it] : Cells) {
-    if (PartCount + partOf(name) == part)
+    if (BucketCount + bucketOf(name) == bucket)
       cells.push_back(&it);
   }
   return add(members, message.Members) && add(cells, message.Cells);
--- a/Hemlockglade/Coordination/Membership/MemberTable.h
+++ b/Hemlockglade/Coordination/Membership/MemberTable.h
@@ -7,46 +7,48 @@
 
 namespace hemlockglade {
 
-/// What one node knows of all others and of the cells, and the rules by which
-/// news override it. Not safe to share by itself.
+/// One node's records of all other members and of the cells' owners, and the
+/// rules for merging received records into them. Not thread-safe.
 class MemberTable {
 public:
-  /// Parts that members, and likewise cells, are hashed in for comparison.
-  static constexpr std::size_t PartCount = 32;
+  /// Number of buckets that members, and likewise cells, are hashed into for
+  /// comparison with another node.
+  static constexpr std::size_t BucketCount = 32;
 
-  /// What came of a piece of news.
-  enum class News : std::uint8_t {
-    Nothing,
-    /// It changed what is known and is worth telling on.
+  /// Result of merging a received record.
+  enum class MergeResult : std::uint8_t {
+    Ignored,
+    /// The record was taken over and must be passed on.
     Changed,
-    /// It contradicts what is known here at the same incarnation: ask the
-    /// member itself.
-    Doubtful,
+    /// The record says that a live member is dead, or that a dead one is alive
+    /// at the same incarnation. The member itself must be probed.
+    MustProbe,
   };
 
   struct Member {
     MemberRecord Record;
-    /// When it became suspect or dead.
-    Instant Since{};
-    /// Revision that it was last heard to have in force.
+    /// When the record got its present state.
+    Instant StateSince{};
+    /// Revision that it last reported to have in force.
     Revision InForce = 0;
   };
 
   MemberTable(const MembershipSettings &settings, std::uint64_t seed)
       : Settings(settings), Random(seed) {}
 
-  News merge(const MemberRecord &record, Instant now);
-  News merge(const CellOwner &cell);
+  MergeResult merge(const MemberRecord &record, Instant now);
+  MergeResult merge(const CellOwner &cell);
   /// Marks an alive member suspect; false if it isn't alive.
   bool suspect(const std::string &name, Instant now);
-  /// Suspects whose time is up become dead, and the dead of long ago are
-  /// forgotten. Gives the new dead.
+  /// Marks suspects dead whose timeout has passed, and erases members that have
+  /// been dead or stopped for `DeadRetention`. Returns the newly dead members.
   std::vector<MemberRecord> expire(Instant now);
-  /// Moves all suspicions on, after a pause of this node itself.
+  /// Adds `span` to the timeouts of all members, after this node itself was
+  /// paused.
   void postpone(Span span);
-  /// The member has that revision in force.
+  /// Records the revision that the member has in force.
   void setInForce(const std::string &name, Revision revision);
-  /// Forgets cells that `keep` refuses.
+  /// Erases the cells for which `keep` returns false.
   void keepCells(const std::function<bool(const std::string &)> &keep);
 
   const Member *find(const std::string &name) const;
@@ -58,24 +60,25 @@
   /// Binary logarithm of the number of live members and this node, at least 1.
   std::uint32_t logCount() const;
 
-  /// Up to `n` different members that `fits` accepts, at random.
+  /// Returns up to `n` different random members for which `fits` is true.
   std::vector<const Member *>
   choose(std::size_t n, const std::function<bool(const Member &)> &fits);
 
-  /// Hash of each part: of members that aren't dead, `self` among them, then
-  /// of cells.
+  /// Returns the hash of each bucket: first of the live members, `self` among
+  /// them, then of the cells.
   std::vector<std::uint64_t> hashes(const MemberRecord &self) const;
-  /// Adds records of parts whose hash differs, up to `bytes`; parts come in
-  /// an order of their own each time. True if not all fitted.
+  /// Adds to `message` the records of buckets whose hash differs from `hashes`,
+  /// up to `bytes`. The order of buckets is random each time. Returns true if
+  /// not all fitted.
   bool addDifferent(const MemberRecord &self,
                     const std::vector<std::uint64_t> &hashes, std::size_t bytes,
                     MemberMessage &message);
 
 private:
-  void put(Member &member, const MemberRecord &record, MemberState state,
-           Instant now);
+  void setRecord(Member &member, const MemberRecord &record, MemberState state,
+                 Instant now);
   Span suspectTime() const;
-  bool addPart(std::size_t part, std::size_t &left, MemberMessage &message);
+  bool addBucket(std::size_t bucket, std::size_t &left, MemberMessage &message);
 
   MembershipSettings Settings;
   std::mt19937_64 Random;
--- a/Hemlockglade/Coordination/Membership/Membership.cpp
+++ b/Hemlockglade/Coordination/Membership/Membership.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-bool lives(const MemberRecord &record) {
+bool isLiveRecord(const MemberRecord &record) {
   return record.State == MemberState::Alive ||
          record.State == MemberState::Suspect;
 }
 
-/// What an exchange of everything brings is known to most already; only what
-/// comes as a rumour is told on as one.
-bool tellsOn(const MemberMessage &message) {
+/// Whether the records of a message are passed on as rumours. Most nodes have
+/// those of a full exchange already, so only those that came as rumours are.
+bool mustPassOn(const MemberMessage &message) {
   bool syncAnswer =
       message.Kind == MemberMessageKind::Answer && !message.Hashes.empty();
   return !syncAnswer && message.Kind != MemberMessageKind::SyncPush;
@@ -44,7 +44,7 @@
 }
 
 void Membership::addRumours(MemberMessage &message) {
-  std::size_t left = std::min(Settings.RumourBytes, BytesLeft);
+  std::size_t left = std::min(Settings.MaxRumourBytes, BytesLeft);
   BytesLeft -= left;
   auto fits = [&left](const auto &record) {
     auto size = wireSize(record);
@@ -88,16 +88,16 @@
 
 bool Membership::isLive(const std::string &name) const {
   const auto *member = Table.find(name);
-  return member && lives(member->Record);
+  return member && isLiveRecord(member->Record);
 }
 
-void Membership::onPause(Instant now) {
-  auto gap = now - LastRound;
-  // A node that was stopped for a while knows nothing of the others: they
-  // aren't to be judged by the time it missed.
-  if (LastRound != Instant{} && gap > 3 * Settings.Round)
+void Membership::checkForPause(Instant now) {
+  auto gap = now - LastRoundTime;
+  // A node that was paused has received nothing meanwhile, so that time must
+  // not count against the suspects.
+  if (LastRoundTime != Instant{} && gap > 3 * Settings.Round)
     Table.postpone(gap);
-  LastRound = now;
+  LastRoundTime = now;
 }
 
 void Membership::round() {
@@ -108,90 +108,91 @@
   std::vector<Send> gossips;
   {
     std::lock_guard lock(Mutex);
-    onPause(now);
+    checkForPause(now);
     ++Rounds;
     BytesLeft = Settings.RoundBytes;
     effects.Members = Table.expire(now);
     if (inForce != LastInForce)
-      HeadRounds = Settings.HeadRounds;
+      RevisionRoundsLeft = Settings.RevisionGossipRounds;
     LastInForce = inForce;
-    probes = probesOfRound(inForce);
-    gossips = gossipOfRound(inForce);
+    probes = makeProbes(inForce);
+    gossips = makeGossip(inForce);
   }
-  tell(effects);
+  callHooks(effects);
   for (auto &it : probes)
     probe(std::move(it));
   for (auto &it : gossips)
     gossip(std::move(it));
-  syncOfRound();
+  syncIfDue();
 }
 
-std::vector<Membership::Send> Membership::probesOfRound(Revision inForce) {
+std::vector<Membership::Send> Membership::makeProbes(Revision inForce) {
   std::vector<Send> out;
-  if (const auto *next = nextInOrder())
+  if (const auto *next = nextToProbe())
     out.push_back(ping(*next, inForce, true));
   auto add = [&](std::size_t n, const auto &fits) {
     for (const auto *it : Table.choose(n, fits))
       out.push_back(ping(*it, inForce, true));
   };
-  if (Rounds % Settings.CrossRegionEvery == 0)
+  if (Rounds % Settings.CrossRegionInterval == 0)
     add(1, [this](const MemberTable::Member &it) {
-      return lives(it.Record) && it.Record.Region != Self.Region;
+      return isLiveRecord(it.Record) && it.Record.Region != Self.Region;
     });
-  // A suspect has to hear of it to refute it; a few of all members tell it.
-  auto tellsSuspect = [this](const MemberTable::Member &it) {
+  // A suspect can only refute a suspicion that it knows of. Each member pings
+  // it with a probability of `SuspectPings` divided by the number of members.
+  auto isPingedSuspect = [this](const MemberTable::Member &it) {
     return it.Record.State == MemberState::Suspect &&
            Random() % Table.liveCount() < Settings.SuspectPings;
   };
-  add(Settings.SuspectPings, tellsSuspect);
-  if (Rounds % Settings.DeadEvery == 0)
+  add(Settings.SuspectPings, isPingedSuspect);
+  if (Rounds % Settings.DeadProbeInterval == 0)
     add(1, [](const MemberTable::Member &it) {
       return it.Record.State == MemberState::Dead;
     });
-  for (std::size_t it = 0; it < Settings.VerifyPerRound; ++it) {
-    if (Doubtful.empty())
+  for (std::size_t it = 0; it < Settings.VerificationsPerRound; ++it) {
+    if (Unverified.empty())
       break;
-    if (const auto *member = Table.find(Doubtful.front()))
+    if (const auto *member = Table.find(Unverified.front()))
       out.push_back(ping(*member, inForce, true));
-    Doubtful.pop_front();
+    Unverified.pop_front();
   }
   return out;
 }
 
-const MemberTable::Member *Membership::nextInOrder() {
-  if (Order.empty()) {
+const MemberTable::Member *Membership::nextToProbe() {
+  if (ProbeOrder.empty()) {
     for (const auto &[name, it] : Table.members()) {
-      if (lives(it.Record) && it.Record.Region == Self.Region)
-        Order.push_back(name);
+      if (isLiveRecord(it.Record) && it.Record.Region == Self.Region)
+        ProbeOrder.push_back(name);
     }
-    std::shuffle(Order.begin(), Order.end(), Random);
+    std::shuffle(ProbeOrder.begin(), ProbeOrder.end(), Random);
   }
-  while (!Order.empty()) {
-    auto name = std::move(Order.back());
-    Order.pop_back();
+  while (!ProbeOrder.empty()) {
+    auto name = std::move(ProbeOrder.back());
+    ProbeOrder.pop_back();
     if (isLive(name))
       return Table.find(name);
   }
   return nullptr;
 }
 
-std::vector<Membership::Send> Membership::gossipOfRound(Revision inForce) {
+std::vector<Membership::Send> Membership::makeGossip(Revision inForce) {
   std::vector<Send> out;
-  if (LastRound < WatchUntil) {
+  if (LastRoundTime < WatchUntil) {
     auto behind = [this](const MemberTable::Member &it) {
-      return lives(it.Record) && it.InForce < Watched;
+      return isLiveRecord(it.Record) && it.InForce < WatchedRevision;
     };
-    for (const auto *it : Table.choose(Settings.RevisionAsks, behind))
+    for (const auto *it : Table.choose(Settings.RevisionPings, behind))
       out.push_back(ping(*it, inForce, false));
   }
-  if (Rumours.empty() && HeadRounds == 0)
+  if (Rumours.empty() && RevisionRoundsLeft == 0)
     return out;
-  if (HeadRounds > 0)
-    --HeadRounds;
+  if (RevisionRoundsLeft > 0)
+    --RevisionRoundsLeft;
   bool anyRegion = false;
   for (std::size_t it = 0; it < Settings.GossipPerRound; ++it) {
     auto fits = [&](const MemberTable::Member &member) {
-      return lives(member.Record) &&
+      return isLiveRecord(member.Record) &&
              (anyRegion || member.Record.Region == Self.Region);
     };
     for (const auto *member : Table.choose(1, fits))
@@ -201,7 +202,7 @@
   return out;
 }
 
-void Membership::tell(const Effects &effects) {
+void Membership::callHooks(const Effects &effects) {
   for (const auto &it : effects.Members) {
     if (Hooks.OnMember)
       Hooks.OnMember(it);
@@ -212,69 +213,70 @@
   }
 }
 
-void Membership::doubt(const std::string &name) {
-  bool waits =
-      std::find(Doubtful.begin(), Doubtful.end(), name) != Doubtful.end();
-  if (!waits && Doubtful.size() < Settings.MaxDoubtful)
-    Doubtful.push_back(name);
+void Membership::addUnverified(const std::string &name) {
+  bool queued =
+      std::find(Unverified.begin(), Unverified.end(), name) != Unverified.end();
+  if (!queued && Unverified.size() < Settings.MaxUnverified)
+    Unverified.push_back(name);
 }
 
-void Membership::takeSelf(std::uint64_t incarnation, MemberState state) {
+void Membership::refuteIfWrong(std::uint64_t incarnation, MemberState state) {
   bool wrong = incarnation == Self.Incarnation && state != Self.State;
   if (incarnation < Self.Incarnation ||
       (incarnation == Self.Incarnation && !wrong))
     return;
-  // Said of this node and not true, or of an earlier life of it: refute it.
+  // A wrong state, or an incarnation that this node hasn't reached yet, which
+  // an earlier process of it had: refute it with a higher incarnation.
   Self.Incarnation = incarnation + 1;
   Rumours.add(MemberRumour + Self.Name);
 }
 
-void Membership::takeMembers(const MemberMessage &message, Effects &effects) {
+void Membership::mergeMembers(const MemberMessage &message, Effects &effects) {
   auto now = Hooks.Now();
   for (const auto &it : message.Members) {
     if (it.Name == Self.Name) {
-      takeSelf(it.Incarnation, it.State);
+      refuteIfWrong(it.Incarnation, it.State);
       continue;
     }
     const auto *old = Table.find(it.Name);
     bool wasDead = old && old->Record.State == MemberState::Dead;
-    auto news = Table.merge(it, now);
-    if (news == MemberTable::News::Doubtful)
-      doubt(it.Name);
-    if (news != MemberTable::News::Changed)
+    auto result = Table.merge(it, now);
+    if (result == MemberTable::MergeResult::MustProbe)
+      addUnverified(it.Name);
+    if (result != MemberTable::MergeResult::Changed)
       continue;
     effects.Members.push_back(it);
-    if (tellsOn(message))
+    if (mustPassOn(message))
       Rumours.add(MemberRumour + it.Name);
-    if (wasDead && lives(it))
-      Returned = it.Name;
+    if (wasDead && isLiveRecord(it))
+      RevivedMember = it.Name;
   }
 }
 
-void Membership::takeCells(const MemberMessage &message, Effects &effects) {
+void Membership::mergeCells(const MemberMessage &message, Effects &effects) {
   for (const auto &it : message.Cells) {
-    if (Table.merge(it) != MemberTable::News::Changed)
+    if (Table.merge(it) != MemberTable::MergeResult::Changed)
       continue;
     effects.Cells.push_back(it);
-    if (tellsOn(message))
+    if (mustPassOn(message))
       Rumours.add(CellRumour + it.Cell);
   }
 }
 
-void Membership::take(const MemberMessage &message) {
+void Membership::mergeMessage(const MemberMessage &message) {
   Effects effects;
   {
     std::lock_guard lock(Mutex);
-    takeMembers(message, effects);
-    takeCells(message, effects);
+    mergeMembers(message, effects);
+    mergeCells(message, effects);
     if (message.SeenIncarnation > 0)
-      takeSelf(message.SeenIncarnation, message.SeenState);
+      refuteIfWrong(message.SeenIncarnation, message.SeenState);
     bool known = message.SeenIncarnation >= Self.Incarnation;
     if (!known && !Rumours.contains(MemberRumour + Self.Name))
       Rumours.add(MemberRumour + Self.Name);
     Table.setInForce(message.From, message.InForce);
   }
-  tell(effects);
+  callHooks(effects);
   if (message.InForce > 0 && Hooks.OnRevision)
     Hooks.OnRevision(message.InForce, message.From);
 }
@@ -311,8 +313,10 @@
   std::vector<Send> sends;
   {
     std::lock_guard lock(Mutex);
-    auto fits = [](const MemberTable::Member &it) { return lives(it.Record); };
-    for (const auto *it : Table.choose(Settings.LeaveGossip, fits)) {
+    auto fits = [](const MemberTable::Member &it) {
+      return isLiveRecord(it.Record);
+    };
+    for (const auto *it : Table.choose(Settings.ImmediateGossip, fits)) {
       auto send = ping(*it, inForce, rumours);
       if (!rumours)
         send.Message.Members.push_back(Self);
@@ -326,21 +330,21 @@
 void Membership::announceCell(const CellOwner &cell) {
   {
     std::lock_guard lock(Mutex);
-    if (Table.merge(cell) != MemberTable::News::Changed)
+    if (Table.merge(cell) != MemberTable::MergeResult::Changed)
       return;
     Rumours.add(CellRumour + cell.Cell);
-    if (std::exchange(GossipDue, true))
+    if (std::exchange(CellGossipScheduled, true))
       return;
   }
-  // Requests wait for the cell, so the next round is too late. All cells that
-  // change hands together are told together.
+  // Requests wait for the cell's owner, so the next round is too late. Changes
+  // within the delay go out in one message.
   Hooks.After(Settings.CellGossipDelay, [weak = weak_from_this()] {
     auto self = weak.lock();
     if (!self)
       return;
     {
       std::lock_guard lock(self->Mutex);
-      self->GossipDue = false;
+      self->CellGossipScheduled = false;
     }
     self->gossipNow(true);
   });
@@ -396,7 +400,7 @@
 
 void Membership::watchRevision(Revision revision, Instant until) {
   std::lock_guard lock(Mutex);
-  Watched = std::max(Watched, revision);
+  WatchedRevision = std::max(WatchedRevision, revision);
   WatchUntil = std::max(WatchUntil, until);
 }
 
@@ -404,7 +408,7 @@
   std::lock_guard lock(Mutex);
   std::vector<std::string> out;
   for (const auto &[name, it] : Table.members()) {
-    if (lives(it.Record) && it.InForce < revision)
+    if (isLiveRecord(it.Record) && it.InForce < revision)
       out.push_back(name);
   }
   return out;
--- a/Hemlockglade/Coordination/Membership/Membership.h
+++ b/Hemlockglade/Coordination/Membership/Membership.h
@@ -9,50 +9,56 @@
 
 namespace hemlockglade {
 
-/// Knows which nodes live, by probing a few of them each round and by rumours
-/// that ride on the probes and their answers (after the SWIM protocol). What a
-/// node sends in a round is bounded whatever the number of nodes. Safe to call
-/// from several threads; hooks are called without the lock.
+/// Detects which nodes are alive, by probing a few of them each round, and
+/// spreads changes as rumours in the probes and their answers (after the SWIM
+/// protocol). The bytes that a node sends per round are bounded independently
+/// of the number of nodes. Thread-safe; hooks are called without the lock.
 class Membership : public std::enable_shared_from_this<Membership> {
 public:
   using Reply = std::function<void(std::optional<MemberMessage>)>;
 
-  /// `self`'s incarnation should rise with each start, as a clock does.
+  /// The incarnation in `self` should be higher at each start, for example a
+  /// clock's time.
   Membership(const MembershipSettings &settings, MemberRecord self,
              MembershipHooks hooks, std::uint64_t seed);
 
-  /// To be called once a round.
+  /// Sends the probes and rumours of one round. Must be called every
+  /// `MembershipSettings::Round`.
   void round();
-  /// Answers a peer's message; may call back later, and gives nothing if there
-  /// is no answer.
+  /// Handles a peer's message. `reply` may be called later, and gets nothing if
+  /// there is no answer.
   void serve(const MemberMessage &message, const Reply &reply);
 
-  /// Tells everybody that this node takes callers, after it was made with
+  /// Announces that this node takes callers, after it was constructed with
   /// `Leaving` set. Does nothing if it takes them already.
   void enter();
-  /// Tells everybody that this node takes no new callers.
+  /// Announces that this node drains: it takes no new callers.
   void leave();
-  /// Tells everybody that this node is gone; the last thing it says.
+  /// Announces that this node stops; called last.
   void depart();
-  /// Tells of a cell's owner, learned from the table or by owning it.
+  /// Announces a cell's owner that was read from the table, or that is this
+  /// node.
   void announceCell(const CellOwner &cell);
-  /// Forgets cells that `keep` refuses, when the configuration drops them.
+  /// Erases the cells for which `keep` returns false. Called when the
+  /// configuration no longer has them.
   void keepCells(const std::function<bool(const std::string &)> &keep);
 
-  /// What is known of all other nodes, the dead included, and of this one.
+  /// Returns this node's record, then those of all other nodes, dead ones
+  /// included.
   std::vector<MemberRecord> members() const;
   MemberRecord self() const;
-  /// What is known of one other node.
+  /// Returns the record of another node, or nothing if it isn't known.
   std::optional<MemberRecord> find(const std::string &name) const;
-  /// Other nodes that are alive or suspect.
+  /// Returns the number of other nodes that are alive or suspect.
   std::size_t liveCount() const;
   std::optional<CellOwner> ownerOf(const std::string &cell) const;
-  /// Address for peers of a live member, at random; nothing if alone.
+  /// Returns the peer address of a random alive member; nothing if there is
+  /// none.
   std::optional<std::string> anyPeer() const;
 
-  /// Asks around, until then, which members have the revision in force.
+  /// Pings members until `until` to find out which have the revision in force.
   void watchRevision(Revision revision, Instant until);
-  /// Live members that aren't known to have the revision in force.
+  /// Returns the live members that aren't known to have the revision in force.
   std::vector<std::string> lagging(Revision revision) const;
 
 private:
@@ -62,7 +68,7 @@
     std::string Address;
     MemberMessage Message;
   };
-  /// What hooks are to be told once the lock is off.
+  /// Changes to report to the hooks once the lock is released.
   struct Effects {
     std::vector<MemberRecord> Members;
     std::vector<CellOwner> Cells;
@@ -70,40 +76,41 @@
 
   void setLeaving(bool leaving);
 
-  // With the lock held.
+  // Called with the lock held.
   MemberMessage compose(MemberMessageKind kind, const std::string &to,
                         Revision inForce) const;
   void addRumours(MemberMessage &message);
   Send ping(const MemberTable::Member &to, Revision inForce, bool rumours);
   bool isLive(const std::string &name) const;
-  void onPause(Instant now);
-  std::vector<Send> probesOfRound(Revision inForce);
-  const MemberTable::Member *nextInOrder();
-  std::vector<Send> gossipOfRound(Revision inForce);
-  void takeMembers(const MemberMessage &message, Effects &effects);
-  void takeCells(const MemberMessage &message, Effects &effects);
-  void takeSelf(std::uint64_t incarnation, MemberState state);
-  void doubt(const std::string &name);
+  void checkForPause(Instant now);
+  std::vector<Send> makeProbes(Revision inForce);
+  const MemberTable::Member *nextToProbe();
+  std::vector<Send> makeGossip(Revision inForce);
+  void mergeMembers(const MemberMessage &message, Effects &effects);
+  void mergeCells(const MemberMessage &message, Effects &effects);
+  void refuteIfWrong(std::uint64_t incarnation, MemberState state);
+  void addUnverified(const std::string &name);
 
   void addDifferent(const std::vector<std::uint64_t> &hashes,
                     MemberMessage &message);
 
-  // Without it.
-  void take(const MemberMessage &message);
-  void tell(const Effects &effects);
+  // Called without the lock.
+  void mergeMessage(const MemberMessage &message);
+  void callHooks(const Effects &effects);
   void probe(Send send);
-  void askHelpers(const std::shared_ptr<Probe> &probe);
-  void giveUp(const std::shared_ptr<Probe> &probe);
+  void probeIndirectly(const std::shared_ptr<Probe> &probe);
+  void onProbeTimeout(const std::shared_ptr<Probe> &probe);
   void onAnswer(const std::shared_ptr<Probe> &probe,
                 const std::optional<MemberMessage> &answer);
   void gossip(Send send);
-  /// Tells a few members at once: rumours, or only of this node.
+  /// Sends the rumours, or only this node's own record, to a few members
+  /// without waiting for the next round.
   void gossipNow(bool rumours);
-  void serveRequest(const MemberMessage &message, const Reply &reply);
+  void servePingRequest(const MemberMessage &message, const Reply &reply);
   MemberMessage answerTo(const MemberMessage &message);
-  void syncOfRound();
-  std::optional<Send> syncTarget();
-  std::string unknownSeed();
+  void syncIfDue();
+  std::optional<Send> chooseSyncTarget();
+  std::string chooseUnknownSeed();
   void sync(const std::string &name, const std::string &address,
             std::uint32_t left);
   void onSynced(const std::string &name, const std::string &address,
@@ -114,25 +121,30 @@
 
   mutable std::mutex Mutex;
   MemberRecord Self;
-  /// A telling of cells is about to go out.
-  bool GossipDue = false;
+  /// Whether a message with changed cell owners is scheduled.
+  bool CellGossipScheduled = false;
   MemberTable Table;
   mutable std::mt19937_64 Random;
   RumourQueue Rumours;
-  /// Members of this region still to be probed before all start over.
-  std::vector<std::string> Order;
-  std::deque<std::string> Doubtful;
-  /// A member that came back from the dead, to exchange everything with.
-  std::string Returned;
-  /// The last exchange was refused for want of bytes.
-  bool SyncAgain = false;
+  /// Members of this region that are still to be probed before a new random
+  /// order of all of them begins.
+  std::vector<std::string> ProbeOrder;
+  /// Members that other nodes report in a state that must be verified here.
+  std::deque<std::string> Unverified;
+  /// A member that was dead and is live again: the target of the next full
+  /// exchange.
+  std::string RevivedMember;
+  /// The other node had no bytes left in its round for the last full exchange.
+  bool SyncRetryDue = false;
   std::uint64_t Rounds = 0;
-  Instant LastRound{};
+  Instant LastRoundTime{};
   Revision LastInForce = 0;
-  std::uint64_t HeadRounds = 0;
-  /// Bytes of records that may still be sent in this round.
+  /// Rounds for which the new revision in force is still sent like a rumour.
+  std::uint64_t RevisionRoundsLeft = 0;
+  /// Bytes of records that may still be sent in the current round.
   std::size_t BytesLeft = 0;
-  Revision Watched = 0;
+  /// Revision whose spread is being watched, and until when.
+  Revision WatchedRevision = 0;
   Instant WatchUntil{};
 };
 
--- a/Hemlockglade/Coordination/Membership/MembershipExchange.cpp
+++ b/Hemlockglade/Coordination/Membership/MembershipExchange.cpp
@@ -1,4 +1,4 @@
-// The messages of Membership: probes, answers, and exchanges of everything.
+// The messages of Membership: probes, answers and full exchanges.
 
 #include "Hemlockglade/Coordination/Membership/Membership.h"
 
@@ -6,37 +6,37 @@
 
 namespace hemlockglade {
 
-/// A probe on its way.
+/// A probe that waits for its answer.
 struct Membership::Probe {
   std::string Name;
-  Instant Began{};
+  Instant StartTime{};
   std::atomic<bool> Answered{false};
 };
 
 void Membership::probe(Send send) {
   auto probe = std::make_shared<Probe>();
   probe->Name = send.Name;
-  probe->Began = Hooks.Now();
+  probe->StartTime = Hooks.Now();
   auto self = shared_from_this();
   Hooks.Ask(
       send.Address, std::move(send.Message),
       [self, probe](const auto &answer) { self->onAnswer(probe, answer); });
   Hooks.After(Settings.ProbeTimeout, [self, probe] {
     if (!probe->Answered)
-      self->askHelpers(probe);
+      self->probeIndirectly(probe);
   });
 }
 
 void Membership::onAnswer(const std::shared_ptr<Probe> &probe,
                           const std::optional<MemberMessage> &answer) {
-  // Another node may have taken the address over.
+  // Another node may have the address by now.
   if (!answer || answer->From != probe->Name)
     return;
   probe->Answered = true;
-  take(*answer);
+  mergeMessage(*answer);
 }
 
-void Membership::askHelpers(const std::shared_ptr<Probe> &probe) {
+void Membership::probeIndirectly(const std::shared_ptr<Probe> &probe) {
   auto inForce = Hooks.InForce();
   std::vector<Send> sends;
   {
@@ -45,7 +45,7 @@
       return it.Record.State == MemberState::Alive &&
              it.Record.Name != probe->Name;
     };
-    for (const auto *it : Table.choose(Settings.Helpers, fits)) {
+    for (const auto *it : Table.choose(Settings.IndirectProbes, fits)) {
       auto send = ping(*it, inForce, false);
       send.Message.Kind = MemberMessageKind::PingRequest;
       send.Message.Target = probe->Name;
@@ -59,41 +59,42 @@
                 if (!answer)
                   return;
                 probe->Answered = true;
-                self->take(*answer);
+                self->mergeMessage(*answer);
               });
   Hooks.After(2 * Settings.ProbeTimeout, [self, probe] {
     if (!probe->Answered)
-      self->giveUp(probe);
+      self->onProbeTimeout(probe);
   });
 }
 
-void Membership::giveUp(const std::shared_ptr<Probe> &probe) {
+void Membership::onProbeTimeout(const std::shared_ptr<Probe> &probe) {
   Effects effects;
   {
     std::lock_guard lock(Mutex);
     auto now = Hooks.Now();
-    // Late by far: this node itself was paused, and the answer may wait.
-    bool paused = now - probe->Began > 6 * Settings.ProbeTimeout;
+    // So long after the start, this node itself was paused, and the answer may
+    // be waiting unread.
+    bool paused = now - probe->StartTime > 6 * Settings.ProbeTimeout;
     if (!paused && Table.suspect(probe->Name, now)) {
       Rumours.add(MemberRumour + probe->Name);
       effects.Members.push_back(Table.find(probe->Name)->Record);
     }
   }
-  tell(effects);
+  callHooks(effects);
 }
 
 void Membership::gossip(Send send) {
   Hooks.Ask(send.Address, std::move(send.Message),
             [self = shared_from_this(), name = send.Name](const auto &answer) {
               if (answer && answer->From == name)
-                self->take(*answer);
+                self->mergeMessage(*answer);
             });
 }
 
 void Membership::serve(const MemberMessage &message, const Reply &reply) {
-  take(message);
+  mergeMessage(message);
   if (message.Kind == MemberMessageKind::PingRequest)
-    return serveRequest(message, reply);
+    return servePingRequest(message, reply);
   reply(answerTo(message));
 }
 
@@ -101,7 +102,7 @@
   auto inForce = Hooks.InForce();
   std::lock_guard lock(Mutex);
   auto answer = compose(MemberMessageKind::Answer, message.From, inForce);
-  // Who thinks wrongly of this node is told at once.
+  // A sender with an outdated record of this node gets the current one at once.
   if (message.SeenIncarnation != Self.Incarnation ||
       message.SeenState != Self.State)
     answer.Members.push_back(Self);
@@ -115,9 +116,9 @@
 
 void Membership::addDifferent(const std::vector<std::uint64_t> &hashes,
                               MemberMessage &message) {
-  // Too little left in this round: the other will come again.
-  auto bytes = std::min(Settings.SyncBytes, BytesLeft);
-  if (bytes < Settings.SyncBytes)
+  // Too few bytes left in this round: the other node repeats its sync later.
+  auto bytes = std::min(Settings.MaxSyncBytes, BytesLeft);
+  if (bytes < Settings.MaxSyncBytes)
     return;
   if (message.Kind == MemberMessageKind::Answer)
     message.Hashes = Table.hashes(Self);
@@ -125,8 +126,8 @@
   BytesLeft -= std::min(BytesLeft, wireSize(message));
 }
 
-void Membership::serveRequest(const MemberMessage &message,
-                              const Reply &reply) {
+void Membership::servePingRequest(const MemberMessage &message,
+                                  const Reply &reply) {
   auto inForce = Hooks.InForce();
   std::optional<Send> send;
   {
@@ -140,12 +141,12 @@
             [self = shared_from_this(), message, reply](const auto &answer) {
               if (!answer || answer->From != message.Target)
                 return reply(std::nullopt);
-              self->take(*answer);
+              self->mergeMessage(*answer);
               reply(self->answerTo(message));
             });
 }
 
-std::string Membership::unknownSeed() {
+std::string Membership::chooseUnknownSeed() {
   auto seeds = Hooks.Seeds();
   std::lock_guard lock(Mutex);
   std::set<std::string> known{Self.PeerAddress};
@@ -157,41 +158,41 @@
   return seeds.empty() ? std::string() : seeds[Random() % seeds.size()];
 }
 
-std::optional<Membership::Send> Membership::syncTarget() {
+std::optional<Membership::Send> Membership::chooseSyncTarget() {
   std::lock_guard lock(Mutex);
   auto fits = [this](const MemberTable::Member &it) {
-    bool chosen = Returned.empty() || it.Record.Name == Returned;
+    bool chosen = RevivedMember.empty() || it.Record.Name == RevivedMember;
     return it.Record.State == MemberState::Alive && chosen;
   };
   auto chosen = Table.choose(1, fits);
-  Returned.clear();
+  RevivedMember.clear();
   if (chosen.empty())
     return std::nullopt;
   const auto &record = chosen.front()->Record;
   return Send{record.Name, record.PeerAddress, {}};
 }
 
-void Membership::syncOfRound() {
+void Membership::syncIfDue() {
   bool due = false;
   bool starting = false;
   bool alone = false;
   {
     std::lock_guard lock(Mutex);
-    due = Rounds % Settings.SyncEvery == 0;
+    due = Rounds % Settings.SyncInterval == 0;
     starting = Rounds <= Settings.SeedRounds;
     alone = Table.liveCount() == 0;
-    due = due || SyncAgain || !Returned.empty();
-    SyncAgain = false;
+    due = due || SyncRetryDue || !RevivedMember.empty();
+    SyncRetryDue = false;
   }
   if (due) {
-    if (auto target = syncTarget())
-      sync(target->Name, target->Address, Settings.SyncMessages);
+    if (auto target = chooseSyncTarget())
+      sync(target->Name, target->Address, Settings.MaxSyncMessages);
   }
   if (!due && !starting && !alone)
     return;
-  auto seed = unknownSeed();
+  auto seed = chooseUnknownSeed();
   if (!seed.empty())
-    sync({}, seed, Settings.SyncMessages);
+    sync({}, seed, Settings.MaxSyncMessages);
 }
 
 void Membership::sync(const std::string &name, const std::string &address,
@@ -208,7 +209,7 @@
             [self = shared_from_this(), address, left](const auto &answer) {
               if (!answer)
                 return;
-              self->take(*answer);
+              self->mergeMessage(*answer);
               self->onSynced(answer->From, address, left, *answer);
             });
 }
@@ -219,19 +220,21 @@
   Send push{name, address, {}};
   {
     std::lock_guard lock(Mutex);
-    // The other had nothing left for this round: somebody else is asked.
-    SyncAgain = answer.Hashes.empty();
+    // The other node had no bytes left in its round: sync again in the next
+    // round, with a random member.
+    SyncRetryDue = answer.Hashes.empty();
     push.Message = compose(MemberMessageKind::SyncPush, name, inForce);
     if (!answer.Hashes.empty())
       addDifferent(answer.Hashes, push.Message);
   }
-  // While there is more to come, what is known here is not yet worth telling.
-  bool tells = !push.Message.Members.empty() || !push.Message.Cells.empty();
-  if (!answer.More && tells)
+  // While the other node has more to send, this node's records aren't pushed.
+  bool hasRecords =
+      !push.Message.Members.empty() || !push.Message.Cells.empty();
+  if (!answer.More && hasRecords)
     gossip(std::move(push));
   if (!answer.More || left == 0)
     return;
-  Hooks.After(Settings.SyncPause,
+  Hooks.After(Settings.SyncMessageDelay,
               [self = shared_from_this(), name, address, left] {
                 self->sync(name, address, left - 1);
               });
--- a/Hemlockglade/Coordination/Membership/RumourQueue.cpp
+++ b/Hemlockglade/Coordination/Membership/RumourQueue.cpp
@@ -14,7 +14,7 @@
 
 void RumourQueue::take(std::uint32_t limit,
                        const std::function<bool(const std::string &)> &use) {
-  std::vector<std::pair<std::uint32_t, Entry>> told;
+  std::vector<std::pair<std::uint32_t, Entry>> sent;
   bool more = true;
   while (more && !ByCount.empty()) {
     auto first = ByCount.begin();
@@ -27,11 +27,11 @@
       more = use(entry.Name);
       if (!more)
         break;
-      told.emplace_back(first->first + 1, std::move(entry));
+      sent.emplace_back(first->first + 1, std::move(entry));
     }
     first->second.pop_front();
   }
-  for (auto &[count, entry] : told) {
+  for (auto &[count, entry] : sent) {
     if (count < limit)
       ByCount[count].push_back(std::move(entry));
     else
--- a/Hemlockglade/Coordination/Membership/RumourQueue.h
+++ b/Hemlockglade/Coordination/Membership/RumourQueue.h
@@ -8,22 +8,22 @@
 
 namespace hemlockglade {
 
-/// First letter of the rumours about members, and of those about cells.
+/// Prefixes of the names of rumours about members and about cells.
 inline constexpr char MemberRumour = 'm';
 inline constexpr char CellRumour = 'c';
 
-/// The names of what is to be told on, least told first. Each name is told a
-/// bounded number of times; a new change of it starts over. Not safe to share
-/// by itself.
+/// The names of changed records that are still to be sent to other nodes, least
+/// often sent first. Each name is sent a bounded number of times; a further
+/// change of its record starts the count again. Not thread-safe.
 class RumourQueue {
 public:
-  /// Adds a name, or starts it over.
+  /// Adds a name, or resets its count.
   void add(const std::string &name);
-  /// Forgets a name.
+  /// Removes a name.
   void drop(const std::string &name) { Current.erase(name); }
-  /// Calls `use(name)` for names, least told first, until it returns false.
-  /// A name that was used counts as told once more; after `limit` times it is
-  /// dropped.
+  /// Calls `use(name)` for names, least often sent first, until it returns
+  /// false. A name for which it returned true counts as sent once more, and is
+  /// removed after `limit` times.
   void take(std::uint32_t limit,
             const std::function<bool(const std::string &)> &use);
   bool contains(const std::string &name) const {
@@ -40,9 +40,9 @@
 
   bool isCurrent(const Entry &entry) const;
 
-  /// Entries by the number of times that they were told.
+  /// Entries by the number of times that they were sent.
   std::map<std::uint32_t, std::deque<Entry>> ByCount;
-  /// Version of each name's valid entry.
+  /// Version of each name's valid entry; entries with other versions are stale.
   std::unordered_map<std::string, std::uint64_t> Current;
   std::uint64_t LastVersion = 0;
 };
--- a/UnitTests/Coordination/Membership/MemberWorld.h
+++ b/UnitTests/Coordination/Membership/MemberWorld.h
@@ -7,24 +7,25 @@
 
 namespace hemlockglade::test {
 
-/// Members on virtual time with a network that loses, delays, and parts.
+/// Members on virtual time with a network that loses and delays messages and
+/// can be partitioned.
 class MemberWorld {
 public:
   struct Node {
     std::shared_ptr<Membership> Member;
     MemberRecord Record;
     bool Up = true;
-    /// Stopped: takes part in nothing, and what is sent to it waits.
+    /// The process is paused: it does nothing, and what is sent to it waits.
     bool Paused = false;
     Revision InForce = 0;
     std::uint64_t Bytes = 0;
     std::uint64_t MaxRoundBytes = 0;
     std::uint64_t RoundBytes = 0;
-    /// Ends with this start of the node: what an earlier process still had
-    /// under way does nothing any more.
-    std::shared_ptr<bool> Life = std::make_shared<bool>(true);
-    /// What it was last told of each other node.
-    std::map<std::string, MemberState> Told;
+    /// Destroyed when the node restarts, so that callbacks of the earlier
+    /// process have no effect.
+    std::shared_ptr<bool> ProcessToken = std::make_shared<bool>(true);
+    /// State that OnMember last reported for each other node.
+    std::map<std::string, MemberState> LastReported;
   };
 
   explicit MemberWorld(std::uint64_t seed) : Random(seed) {}
@@ -35,15 +36,15 @@
   std::map<std::string, Node> Nodes;
   double Loss = 0;
   Span MaxDelay = std::chrono::milliseconds(3);
-  /// Whether two regions hear each other.
+  /// Whether messages between two regions are delivered; null if all are.
   std::function<bool(const std::string &, const std::string &)> Joined;
-  /// Changes messages on their way, to take a mechanism off.
+  /// Changes messages in transit, to disable a mechanism.
   std::function<void(MemberMessage &)> Rewrite;
-  /// Learns of dead members that were not suspect before.
-  std::vector<std::string> Wrong;
-  /// Revisions that peers were heard to have, newest, by node.
+  /// Faults found: members that became dead without having been suspect.
+  std::vector<std::string> Faults;
+  /// Newest revision that a node's peers reported to it, by node.
   std::map<std::string, Revision> Heard;
-  /// Size of a message on the wire.
+  /// Size of a message on the wire, in bytes.
   std::function<std::size_t(const MemberMessage &)> SizeOf =
       [](const MemberMessage &it) { return wireSize(it); };
 
@@ -72,13 +73,13 @@
 
   void run(Span span) { Time.advance(span); }
 
-  /// What a node thinks of another; nothing if it doesn't know it.
+  /// State that node `by` has for `of`; nothing if it doesn't know it.
   std::optional<MemberState> seen(const Node &by, const std::string &of) const {
     auto record = by.Member->find(of);
     return record ? std::optional(record->State) : std::nullopt;
   }
 
-  /// Whether all nodes that are up satisfy `holds`.
+  /// Whether all nodes that are up and not paused satisfy `holds`.
   bool all(const std::function<bool(const Node &)> &holds) const {
     for (const auto &[name, node] : Nodes) {
       if (node.Up && !node.Paused && !holds(node))
@@ -87,7 +88,7 @@
     return true;
   }
 
-  /// Whether each node that is up thinks right of every other.
+  /// Whether each of these nodes has exactly the nodes that are up as alive.
   bool agreed() const {
     return all([this](const Node &node) {
       std::size_t alive = 0;
@@ -110,12 +111,13 @@
     return n;
   }
 
-  /// Virtual time until `holds`, in steps of 100 ms; `most` if it never does.
+  /// Advances the time in steps of 100 ms until `holds` or `limit` is reached.
+  /// Returns the time taken.
   Span until(const std::function<bool()> &holds,
-             Span most = std::chrono::minutes(3)) {
+             Span limit = std::chrono::minutes(3)) {
     constexpr Span Step = std::chrono::milliseconds(100);
     Span span{};
-    for (; span < most && !holds(); span += Step)
+    for (; span < limit && !holds(); span += Step)
       Time.advance(Step);
     return span;
   }
@@ -140,20 +142,21 @@
 
   MembershipHooks hooks(const std::string &name) {
     MembershipHooks hooks;
-    std::weak_ptr<bool> life = Nodes[name].Life;
+    std::weak_ptr<bool> processToken = Nodes[name].ProcessToken;
     hooks.Now = [this] { return Time.now(); };
-    hooks.After = [this, name, life](Span span, std::function<void()> call) {
-      Time.after(span, [this, name, life, call] {
-        if (!life.expired())
-          whenAwake(name, call);
+    hooks.After = [this, name, processToken](Span span,
+                                             std::function<void()> call) {
+      Time.after(span, [this, name, processToken, call] {
+        if (!processToken.expired())
+          whenRunning(name, call);
       });
     };
-    hooks.Ask = [this, name, life](const std::string &to, MemberMessage message,
-                                   auto done) {
-      auto answer = [this, name, life, to, done](const auto &reply) {
+    hooks.Ask = [this, name, processToken](const std::string &to,
+                                           MemberMessage message, auto done) {
+      auto answer = [this, name, processToken, to, done](const auto &reply) {
         if (reply)
-          deliver(to, name, *reply, [done, life](const auto &it) {
-            if (!life.expired())
+          deliver(to, name, *reply, [done, processToken](const auto &it) {
+            if (!processToken.expired())
               done(it);
           });
       };
@@ -173,27 +176,27 @@
       Heard[name] = std::max(Heard[name], revision);
     };
     hooks.OnMember = [this, name](const MemberRecord &it) {
-      auto &told = Nodes[name].Told[it.Name];
-      if (it.State == MemberState::Dead && told != MemberState::Suspect)
-        Wrong.push_back(it.Name + " died at once for " + name);
-      told = it.State;
+      auto &last = Nodes[name].LastReported[it.Name];
+      if (it.State == MemberState::Dead && last != MemberState::Suspect)
+        Faults.push_back(it.Name + " was dead without suspicion at " + name);
+      last = it.State;
     };
     return hooks;
   }
 
-  void whenAwake(const std::string &name, const std::function<void()> &call) {
+  void whenRunning(const std::string &name, const std::function<void()> &call) {
     auto &node = Nodes[name];
     if (!node.Up)
       return;
     if (!node.Paused)
       return call();
     Time.after(std::chrono::milliseconds(100),
-               [this, name, call] { whenAwake(name, call); });
+               [this, name, call] { whenRunning(name, call); });
   }
 
   void deliver(const std::string &from, const std::string &to,
                MemberMessage message,
-               const std::function<void(const MemberMessage &)> &take) {
+               const std::function<void(const MemberMessage &)> &receive) {
     if (Rewrite)
       Rewrite(message);
     if (!Nodes.contains(from) || !Nodes.contains(to))
@@ -203,13 +206,13 @@
     sender.Bytes += size;
     sender.RoundBytes += size;
     bool lost = std::uniform_real_distribution<>(0, 1)(Random) < Loss;
-    bool apart =
+    bool partitioned =
         Joined && !Joined(sender.Record.Region, Nodes[to].Record.Region);
-    if (lost || apart || !sender.Up)
+    if (lost || partitioned || !sender.Up)
       return;
     auto delay = Span(1 + Random() % MaxDelay.count());
-    Time.after(delay, [this, to, message, take] {
-      whenAwake(to, [message, take] { take(message); });
+    Time.after(delay, [this, to, message, receive] {
+      whenRunning(to, [message, receive] { receive(message); });
     });
   }
 };
--- a/UnitTests/Coordination/Membership/MembershipTest.cpp
+++ b/UnitTests/Coordination/Membership/MembershipTest.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Starts `n` nodes in `regions` regions and lets them find each other.
-void gather(MemberWorld &world, std::size_t n, std::size_t regions = 1) {
+/// Starts `n` nodes in `regions` regions and waits until they have found each
+/// other.
+void startNodes(MemberWorld &world, std::size_t n, std::size_t regions = 1) {
   for (std::size_t it = 0; it < n; ++it)
     world.start(it, "region-" + std::to_string(it % regions));
   world.until([&] { return world.agreed(); });
@@ -18,27 +19,28 @@
 
 } // namespace
 
-TEST_CASE("all members find each other and notice a loss", "[membership]") {
+TEST_CASE("members find each other and detect a node that goes down",
+          "[membership]") {
   for (std::size_t n : {2, 3, 7, 50}) {
     MemberWorld world(n);
-    gather(world, n, n > 10 ? 3 : 1);
+    startNodes(world, n, n > 10 ? 3 : 1);
     REQUIRE(world.agreed());
     world.Nodes[MemberWorld::name(1)].Up = false;
     REQUIRE(world.until([&] { return world.agreed(); }) < 30s);
-    REQUIRE(world.Wrong.empty());
-    // It comes back under its name, even with an incarnation that is behind.
+    REQUIRE(world.Faults.empty());
+    // It restarts under its name, with an incarnation lower than its last.
     world.start(1, "region-" + std::to_string(n > 10), 1);
     REQUIRE(world.until([&] { return world.agreed(); }) < 30s);
   }
 }
 
-TEST_CASE("nobody dies of lost messages", "[membership]") {
-  // Without helpers or without time to refute, members do.
+TEST_CASE("lost messages make no member dead", "[membership]") {
+  // Without indirect probes and without time to refute, members become dead.
   auto deaths = [](std::uint64_t seed, std::size_t helpers, Span suspectTime) {
     MemberWorld world(seed);
-    world.Settings.Helpers = helpers;
+    world.Settings.IndirectProbes = helpers;
     world.Settings.MinSuspectTime = world.Settings.SuspectTime = suspectTime;
-    gather(world, 20);
+    startNodes(world, 20);
     world.Loss = 0.2;
     std::size_t dead = 0;
     for (int it = 0; it < 120; ++it) {
@@ -57,8 +59,8 @@
 
 namespace {
 
-/// Whether any node's directory still names this one.
-bool isNamed(const MemberWorld &world, std::size_t number) {
+/// Whether any node's directory still has this node's address.
+bool isListed(const MemberWorld &world, std::size_t number) {
   auto address = world.Nodes.at(MemberWorld::name(number)).Record.CallerAddress;
   return !world.all([&](const MemberWorld::Node &node) {
     auto answer =
@@ -70,31 +72,31 @@
 
 } // namespace
 
-TEST_CASE("a leaving node is out of all directories within rounds",
+TEST_CASE("a draining node leaves all directories within a few rounds",
           "[membership]") {
-  for (bool told : {true, false}) {
+  for (bool announced : {true, false}) {
     MemberWorld world(3);
-    if (!told)
+    if (!announced)
       world.Rewrite = [](MemberMessage &message) {
         for (auto &it : message.Members)
           it.Leaving = false;
       };
-    gather(world, 50);
-    REQUIRE(isNamed(world, 7));
+    startNodes(world, 50);
+    REQUIRE(isListed(world, 7));
     world.at(7).leave();
-    auto span = world.until([&] { return !isNamed(world, 7); }, 10s);
-    REQUIRE((span < 4s) == told);
+    auto span = world.until([&] { return !isListed(world, 7); }, 10s);
+    REQUIRE((span < 4s) == announced);
     world.at(7).depart();
     world.run(100ms);
     world.Nodes[MemberWorld::name(7)].Up = false;
     REQUIRE(world.until([&] { return world.agreed(); }) < 8s);
-    REQUIRE(world.Wrong.empty());
+    REQUIRE(world.Faults.empty());
   }
 }
 
-TEST_CASE("a node that was paused blames nobody", "[membership]") {
+TEST_CASE("a node that was paused suspects no other node", "[membership]") {
   MemberWorld world(4);
-  gather(world, 7);
+  startNodes(world, 7);
   auto &node = world.Nodes[MemberWorld::name(2)];
   node.Paused = true;
   world.run(40s);
@@ -109,31 +111,31 @@
 
 namespace {
 
-/// Whether everybody thinks the nodes of its own region alive, and those of
-/// the other alive or, if parted, dead.
-bool sidesRight(const MemberWorld &world, bool parted) {
+/// Whether every node has the nodes of its own region as alive, and those of
+/// the other as alive, or not alive if the regions are partitioned.
+bool hasExpectedStates(const MemberWorld &world, bool partitioned) {
   return world.all([&](const MemberWorld::Node &node) {
     for (const auto &it : node.Member->members()) {
-      bool near = it.Region == node.Record.Region;
+      bool sameRegion = it.Region == node.Record.Region;
       bool alive = it.State == MemberState::Alive;
-      if (alive != (near || !parted))
+      if (alive != (sameRegion || !partitioned))
         return false;
     }
     return true;
   });
 }
 
-/// Parts two regions for an hour and joins them; counts the times that a
-/// neighbour of one's own region was thought dead.
-std::size_t partForAnHour(MemberWorld &world) {
-  gather(world, 24, 2);
-  bool together = false;
+/// Partitions two regions for an hour and joins them again. Returns how often,
+/// during the merge, a node had a node of its own region as dead or stopped.
+std::size_t partitionForAnHour(MemberWorld &world) {
+  startNodes(world, 24, 2);
+  bool joined = false;
   world.Joined = [&](const std::string &a, const std::string &b) {
-    return together || a == b;
+    return joined || a == b;
   };
   world.run(1h);
-  REQUIRE(sidesRight(world, true));
-  together = true;
+  REQUIRE(hasExpectedStates(world, true));
+  joined = true;
   std::size_t flaps = 0;
   auto merged = [&] {
     for (const auto &[name, node] : world.Nodes) {
@@ -142,7 +144,7 @@
                  it.State != MemberState::Alive &&
                  it.State != MemberState::Suspect;
     }
-    return sidesRight(world, false);
+    return hasExpectedStates(world, false);
   };
   REQUIRE(world.until(merged) < 90s);
   return flaps;
@@ -150,7 +152,8 @@
 
 } // namespace
 
-TEST_CASE("a probe that a pause outlived says nothing", "[membership]") {
+TEST_CASE("a probe whose timeout passed during a pause causes no suspicion",
+          "[membership]") {
   for (Span pause : {Span(0), Span(10s)}) {
     Instant now = 100s;
     std::vector<std::function<void()>> calls;
@@ -183,24 +186,26 @@
   }
 }
 
-TEST_CASE("regions that part for an hour merge again", "[membership]") {
+TEST_CASE("regions merge again after a network partition of an hour",
+          "[membership]") {
   MemberWorld world(5);
-  REQUIRE(partForAnHour(world) == 0);
-  REQUIRE(world.Wrong.empty());
-  // If the other side's word were taken for a neighbour's end, it would flap.
-  MemberWorld believing(5);
-  believing.Rewrite = [](MemberMessage &message) {
+  REQUIRE(partitionForAnHour(world) == 0);
+  REQUIRE(world.Faults.empty());
+  // If the other region's reports of dead members were accepted without a
+  // probe, members would change state back and forth.
+  MemberWorld unverified(5);
+  unverified.Rewrite = [](MemberMessage &message) {
     for (auto &it : message.Members) {
       if (it.State == MemberState::Dead)
         it.State = MemberState::Left;
     }
   };
-  REQUIRE(partForAnHour(believing) > 0);
+  REQUIRE(partitionForAnHour(unverified) > 0);
 }
 
-TEST_CASE("cells and revisions are known everywhere", "[membership]") {
+TEST_CASE("cell owners and revisions reach every node", "[membership]") {
   MemberWorld world(6);
-  gather(world, 30);
+  startNodes(world, 30);
   world.at(3).announceCell({"assistant/0", "entry-3", 5});
   world.at(4).announceCell({"assistant/0", "entry-4", 4});
   world.Nodes[MemberWorld::name(9)].InForce = 17;
@@ -220,30 +225,30 @@
   REQUIRE(world.until([&] { return world.at(9).lagging(17).empty(); }) < 3s);
 }
 
-TEST_CASE("a change of hands is known at once, many at the cost of one",
+TEST_CASE("new cell owners spread at once and several share a message",
           "[membership]") {
   MemberWorld world(7);
-  gather(world, 7);
-  auto &teller = world.Nodes[MemberWorld::name(3)];
-  teller.Bytes = 0;
+  startNodes(world, 7);
+  auto &announcer = world.Nodes[MemberWorld::name(3)];
+  announcer.Bytes = 0;
   for (int it = 0; it < 20; ++it)
     world.at(3).announceCell({"assistant/" + std::to_string(it), "entry-3", 5});
   world.run(50ms);
   REQUIRE(world.all([](const MemberWorld::Node &node) {
     return node.Member->ownerOf("assistant/19").has_value();
   }));
-  REQUIRE(teller.Bytes < 8000);
+  REQUIRE(announcer.Bytes < 8000);
 }
 
-TEST_CASE("what a node sends is bounded whatever the number of nodes",
+TEST_CASE("bytes sent per node are bounded for any number of nodes",
           "[membership]") {
   constexpr std::uint64_t Seconds = 30;
   for (std::size_t n : {7, 50, 200}) {
     MemberWorld world(n);
-    gather(world, n, n > 100 ? 3 : 1);
+    startNodes(world, n, n > 100 ? 3 : 1);
     for (auto &[name, node] : world.Nodes)
       node.Bytes = node.MaxRoundBytes = 0;
-    // A wave of news: a tenth of the nodes go at once.
+    // Many changes at once: a tenth of the nodes go down together.
     for (std::size_t it = 0; it < n / 10; ++it)
       world.Nodes[MemberWorld::name(it * 10)].Up = false;
     world.run(std::chrono::seconds(Seconds));
@@ -254,24 +259,26 @@
   }
 }
 
-TEST_CASE("regions that merge again stay within the bound", "[membership]") {
+TEST_CASE("regions that merge again stay within the bound per round",
+          "[membership]") {
   MemberWorld world(8);
-  gather(world, 90, 3);
-  bool together = false;
+  startNodes(world, 90, 3);
+  bool joined = false;
   world.Joined = [&](const std::string &a, const std::string &b) {
-    return together || a == b;
+    return joined || a == b;
   };
   world.run(5min);
   for (auto &[name, node] : world.Nodes)
     node.MaxRoundBytes = 0;
-  together = true;
-  REQUIRE(world.until([&] { return sidesRight(world, false); }) < 60s);
+  joined = true;
+  REQUIRE(world.until([&] { return hasExpectedStates(world, false); }) < 60s);
   world.run(5s);
   for (const auto &[name, node] : world.Nodes)
     REQUIRE(node.MaxRoundBytes < 23000);
 }
 
-TEST_CASE("nodes that start together find each other soon", "[membership]") {
+TEST_CASE("nodes that start together find each other within seconds",
+          "[membership]") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     MemberWorld world(seed);
     for (int it = 0; it < 20; ++it)
@@ -281,13 +288,13 @@
 }
 
 TEST_CASE("members agree after any schedule of failures", "[membership]") {
-  REQUIRE(rc::check("once the failures are over", [] {
+  REQUIRE(rc::check("after the failures have ended", [] {
     MemberWorld world(*rc::gen::arbitrary<std::uint64_t>());
     auto n = *rc::gen::inRange<std::size_t>(3, 10);
-    gather(world, n, 2);
-    bool parted = false;
+    startNodes(world, n, 2);
+    bool partitioned = false;
     world.Joined = [&](const std::string &a, const std::string &b) {
-      return !parted || a == b;
+      return !partitioned || a == b;
     };
     for (int it = 0; it < 12; ++it) {
       auto number = world.Random() % n;
@@ -298,7 +305,7 @@
       else if (what == 1)
         node.Paused = !node.Paused;
       else if (what == 2)
-        parted = !parted;
+        partitioned = !partitioned;
       else if (what == 3 && node.Up)
         node.Up = false;
       else if (!node.Up)
@@ -306,11 +313,11 @@
       world.run(std::chrono::seconds(world.Random() % 15));
     }
     world.Loss = 0;
-    parted = false;
+    partitioned = false;
     for (auto &[name, node] : world.Nodes)
       node.Paused = false;
     auto span = world.until([&] { return world.agreed(); });
     RC_ASSERT(span < Span(120s));
-    RC_ASSERT(world.Wrong.empty());
+    RC_ASSERT(world.Faults.empty());
   }));
 }
