--- a/Hemlockglade/Coordination/Config/ConfigCommit.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigCommit.cpp
@@ -8,7 +8,7 @@
                            ConfigProposal proposal, Revision inForce, Done done)
     : Settings(settings), Hooks(std::move(hooks)),
       Proposal(std::move(proposal)), InForce(inForce), Base(Proposal.Base),
-      Finish(std::move(done)) {}
+      OnDone(std::move(done)) {}
 
 void ConfigCommit::start() {
   Hooks.Table.Get(std::string(ConfigHeadKey),
@@ -21,14 +21,14 @@
     tl::expected<std::optional<TableRow>, TableError> row) {
   if (!row)
     return fail(ConfigErrorKind::Unavailable);
-  if (!takeHead(*row))
+  if (!decodeHeadRow(*row))
     return fail(ConfigErrorKind::StoreBehind);
-  if (const auto *own = ownRecord())
+  if (const auto *own = findOwnRecord())
     return accept(own->Number, true);
   if (Head.Number < InForce)
     return fail(ConfigErrorKind::StoreBehind);
   if (Head.Number > Base)
-    return findFirst();
+    return findFirstCommit();
   if (Head.Number < Base)
     return fail(ConfigErrorKind::StoreBehind);
   if (Head.Number - Head.Snapshot >= Settings.MaxRows)
@@ -50,15 +50,15 @@
   auto pieces = std::make_shared<std::vector<std::string>>();
   for (std::size_t it = 0; it < DeltaText.size(); it += Settings.MaxRowBytes)
     pieces->push_back(DeltaText.substr(it, Settings.MaxRowBytes));
-  // The base is part of the name, so that a try that failed can't mix its
-  // objects with those of a later one.
+  // The base is part of the name, so that objects of a failed commit aren't
+  // mixed with those of a later one under the same command id.
   ConfigDeltaObjects objects{"config/delta/" + std::to_string(Base + 1) + '/' +
                                  Proposal.CommandId,
                              pieces->size()};
   DeltaRow = encodeDeltaObjects(objects);
   putObjects(Hooks, objects.Name, pieces,
-             [self = shared_from_this()](bool there) {
-               if (!there)
+             [self = shared_from_this()](bool stored) {
+               if (!stored)
                  return self->fail(ConfigErrorKind::Unavailable);
                self->submit();
              });
@@ -68,17 +68,17 @@
   ConfigHead next = Head;
   next.Number = Base + 1;
   next.Commits.push_back({next.Number, Proposal.CommandId, Proposal.Operator});
-  if (next.Commits.size() > Settings.HeadCommits)
+  if (next.Commits.size() > Settings.MaxHeadCommits)
     next.Commits.erase(next.Commits.begin());
   TableTransaction transaction;
-  // The same head version and command make the same transaction, so a repeat
-  // may go under the same attempt.
+  // The same head version and command make the same transaction, so a retry
+  // has the same attempt id.
   transaction.AttemptId =
       "config/" + Proposal.CommandId + '/' + std::to_string(HeadVersion);
   transaction.Writes.push_back(
       {std::string(ConfigHeadKey), HeadVersion, encodeHead(next)});
   transaction.Writes.push_back({configDeltaKey(Base + 1), 0, DeltaRow});
-  ++Tries;
+  ++Attempts;
   Hooks.Table.Commit(std::move(transaction),
                      [self = shared_from_this()](auto result) {
                        self->onSubmitted(std::move(result));
@@ -102,21 +102,22 @@
     tl::expected<std::optional<TableRow>, TableError> row) {
   if (!row)
     return retry();
-  if (!takeHead(*row))
+  if (!decodeHeadRow(*row))
     return fail(ConfigErrorKind::Unknown);
-  if (const auto *own = ownRecord())
+  if (const auto *own = findOwnRecord())
     return accept(own->Number, false);
-  // Nobody came first: a repeat takes effect once, whether or not the first
-  // try is still on its way.
+  // There is no commit after the base. Submitting again takes effect once, even
+  // if the first transaction is still in transit.
   if (Head.Number == Base)
-    return Tries < Settings.CommitTries ? submit()
-                                        : fail(ConfigErrorKind::Unknown);
+    return Attempts < Settings.MaxCommitAttempts
+               ? submit()
+               : fail(ConfigErrorKind::Unknown);
   if (Head.Number < Base)
     return fail(ConfigErrorKind::Unknown);
-  findFirst();
+  findFirstCommit();
 }
 
-void ConfigCommit::findFirst() {
+void ConfigCommit::findFirstCommit() {
   for (const auto &it : Head.Commits) {
     if (it.Number == Base + 1)
       return conflict(it);
@@ -129,7 +130,8 @@
                   [self = shared_from_this()](auto row) {
                     if (row && *row)
                       return self->onDeltaRow(std::move((*row)->Value));
-                    // Trimmed, or no answer: who came first isn't known.
+                    // Trimmed, or no answer: the commit after the base isn't
+                    // known.
                     self->fail(ConfigErrorKind::Unknown);
                   });
 }
@@ -140,12 +142,12 @@
     if (!delta)
       return self->fail(ConfigErrorKind::Unknown);
     if (delta->CommandId == self->Proposal.CommandId)
-      return self->accept(delta->Number, self->Tries == 0);
+      return self->accept(delta->Number, self->Attempts == 0);
     self->conflict({delta->Number, delta->CommandId, delta->Operator});
   });
 }
 
-bool ConfigCommit::takeHead(const std::optional<TableRow> &row) {
+bool ConfigCommit::decodeHeadRow(const std::optional<TableRow> &row) {
   Head = {};
   HeadVersion = row ? row->Version : 0;
   if (!row)
@@ -158,26 +160,27 @@
 }
 
 void ConfigCommit::retry() {
-  if (++Tries >= Settings.CommitTries)
+  if (++Attempts >= Settings.MaxCommitAttempts)
     return fail(ConfigErrorKind::Unknown);
   Hooks.After(Settings.RetryDelay,
               [self = shared_from_this()] { self->readBack(); });
 }
 
-void ConfigCommit::accept(Revision number, bool repeated) {
-  Finish({ConfigAccepted{number, repeated}, repeated ? "" : DeltaText, Head});
+void ConfigCommit::accept(Revision number, bool alreadyAccepted) {
+  OnDone({ConfigAccepted{number, alreadyAccepted},
+          alreadyAccepted ? "" : DeltaText, Head});
 }
 
 void ConfigCommit::conflict(const ConfigCommitRecord &first) {
   ConfigError error{ConfigErrorKind::Conflict, first};
-  Finish({tl::unexpected(std::move(error)), {}, Head});
+  OnDone({tl::unexpected(std::move(error)), {}, Head});
 }
 
 void ConfigCommit::fail(ConfigErrorKind kind) {
-  Finish({tl::unexpected(ConfigError{kind, std::nullopt}), {}, Head});
+  OnDone({tl::unexpected(ConfigError{kind, std::nullopt}), {}, Head});
 }
 
-const ConfigCommitRecord *ConfigCommit::ownRecord() const {
+const ConfigCommitRecord *ConfigCommit::findOwnRecord() const {
   for (const auto &it : Head.Commits) {
     if (it.CommandId == Proposal.CommandId)
       return &it;
--- a/Hemlockglade/Coordination/Config/ConfigFormat.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigFormat.cpp
@@ -204,7 +204,8 @@
 }
 
 std::optional<ConfigDeltaObjects> decodeDeltaObjects(const std::string &text) {
-  // Keys are written in order, so a pointing row is known by its start.
+  // Keys are written in alphabetical order, so a row that refers to objects
+  // starts with this one.
   if (!text.starts_with(R"({"object")"))
     return std::nullopt;
   return parsed(text, [](const json &node) {
--- a/Hemlockglade/Coordination/Config/ConfigHistory.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigHistory.cpp
@@ -12,7 +12,7 @@
   assert(Deltas.empty() || Deltas.back().Number + 1 == delta.Number);
   Bytes += text.size();
   Deltas.push_back({delta.Number, std::move(text)});
-  while (Bytes > Settings.KeepBytes) {
+  while (Bytes > Settings.MaxHistoryBytes) {
     Bytes -= Deltas.front().Text.size();
     Deltas.pop_front();
   }
@@ -25,20 +25,20 @@
   CommandOrder.pop_front();
 }
 
-void ConfigHistory::restart() {
+void ConfigHistory::clearDeltas() {
   Deltas.clear();
   Bytes = 0;
 }
 
 std::optional<std::vector<std::string>>
-ConfigHistory::after(Revision from) const {
+ConfigHistory::deltasAfter(Revision from) const {
   std::vector<std::string> out;
   if (Deltas.empty() || Deltas.front().Number > from + 1)
     return std::nullopt;
   std::size_t size = 0;
   for (auto it = from + 1 - Deltas.front().Number; it < Deltas.size(); ++it) {
     const auto &text = Deltas[it].Text;
-    if (!out.empty() && size + text.size() > Settings.AnswerBytes)
+    if (!out.empty() && size + text.size() > Settings.MaxAnswerBytes)
       break;
     size += text.size();
     out.push_back(text);
--- a/Hemlockglade/Coordination/Config/ConfigObjects.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigObjects.cpp
@@ -15,14 +15,14 @@
              std::size_t index, std::function<void(bool)> done) {
   if (index == pieces->size())
     return done(true);
-  hooks.PutObject(
-      objectName(name, index), (*pieces)[index],
-      [hooks, name, pieces, index, done = std::move(done)](bool there) mutable {
-        if (!there)
-          return done(false);
-        putFrom(hooks, std::move(name), std::move(pieces), index + 1,
-                std::move(done));
-      });
+  hooks.PutObject(objectName(name, index), (*pieces)[index],
+                  [hooks, name, pieces, index,
+                   done = std::move(done)](bool stored) mutable {
+                    if (!stored)
+                      return done(false);
+                    putFrom(hooks, std::move(name), std::move(pieces),
+                            index + 1, std::move(done));
+                  });
 }
 
 void getFrom(
--- a/Hemlockglade/Coordination/Config/ConfigObjects.h
+++ b/Hemlockglade/Coordination/Config/ConfigObjects.h
@@ -4,13 +4,14 @@
 
 namespace hemlockglade {
 
-/// Puts `pieces` as the objects `name/0`, `name/1`, ..., one at a time.
+/// Writes `pieces` as the objects `name/0`, `name/1`, ..., one at a time. Calls
+/// `done(false)` at the first that can't be written.
 void putObjects(const ConfigHooks &hooks, std::string name,
                 std::shared_ptr<const std::vector<std::string>> pieces,
                 std::function<void(bool)> done);
 
-/// Gets the objects `name/0` to `name/count-1`, one at a time; nothing if one
-/// can't be had.
+/// Reads the objects `name/0` to `name/count-1`, one at a time. `done` gets
+/// nothing if one can't be read.
 void getObjects(
     const ConfigHooks &hooks, std::string name, std::size_t count,
     std::function<void(std::optional<std::vector<std::string>>)> done);
@@ -19,8 +20,8 @@
 void dropObjects(const ConfigHooks &hooks, const std::string &name,
                  std::size_t count);
 
-/// The text of the delta that a row holds or points to; nothing if its
-/// objects can't be had.
+/// Passes to `done` the text of the delta that a row has or refers to; nothing
+/// if its objects can't be read.
 void loadDeltaText(const ConfigHooks &hooks, std::string row,
                    std::function<void(std::optional<std::string>)> done);
 
--- a/Hemlockglade/Coordination/Config/ConfigReplicator.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigReplicator.cpp
@@ -13,22 +13,23 @@
       History(Settings) {}
 
 void ConfigReplicator::round() {
-  bool look = false;
-  bool alone = false;
+  bool readDue = false;
+  bool needsReport = false;
   {
     std::lock_guard lock(Mutex);
     auto now = Hooks.Now();
-    look = now >= NextLook;
-    if (look)
-      NextLook = now + Settings.TableInterval;
-    alone = !Heard;
+    readDue = now >= NextHeadRead;
+    if (readDue)
+      NextHeadRead = now + Settings.TableInterval;
+    needsReport = !HasReport;
   }
-  if (look)
-    lookAtTable();
-  // Before anything is heard the peers are asked too: the table may be away.
-  if (alone) {
+  if (readDue)
+    readTableHead();
+  // Before the first report, peers are asked too: the table may be
+  // unreachable.
+  if (needsReport) {
     if (auto peer = Hooks.AnyPeer())
-      begin(Source::Peer, peer);
+      startFetch(Source::Peer, peer);
   }
   catchUp();
 }
@@ -36,16 +37,16 @@
 void ConfigReplicator::learn(Revision number, const std::string &peer) {
   {
     std::lock_guard lock(Mutex);
-    Heard = true;
+    HasReport = true;
     if (number <= Target)
       return;
     Target = number;
-    Teller = peer;
+    TargetPeer = peer;
   }
   catchUp();
 }
 
-Revision ConfigReplicator::newestHeard() const {
+Revision ConfigReplicator::newestReported() const {
   auto inForce = current()->number();
   std::lock_guard lock(Mutex);
   return std::max(Target, inForce);
@@ -54,10 +55,10 @@
 bool ConfigReplicator::caughtUp() const {
   auto inForce = current()->number();
   std::lock_guard lock(Mutex);
-  return Heard && inForce >= Target;
+  return HasReport && inForce >= Target;
 }
 
-void ConfigReplicator::lookAtTable() {
+void ConfigReplicator::readTableHead() {
   Hooks.Table.Get(std::string(ConfigHeadKey),
                   [self = shared_from_this()](auto row) {
                     if (!row)
@@ -72,7 +73,7 @@
 void ConfigReplicator::onTableHead(const ConfigHead &head) {
   {
     std::lock_guard lock(Mutex);
-    Heard = true;
+    HasReport = true;
     Target = std::max(Target, head.Number);
   }
   catchUp();
@@ -87,15 +88,16 @@
     if (Fetching || inForce >= Target)
       return;
     source = NextSource;
-    if (!Teller.empty())
-      peer = std::exchange(Teller, {});
+    if (!TargetPeer.empty())
+      peer = std::exchange(TargetPeer, {});
   }
   if (source == Source::Peer && !peer)
     peer = Hooks.AnyPeer();
-  begin(peer ? source : Source::Table, std::move(peer));
+  startFetch(peer ? source : Source::Table, std::move(peer));
 }
 
-void ConfigReplicator::begin(Source source, std::optional<std::string> peer) {
+void ConfigReplicator::startFetch(Source source,
+                                  std::optional<std::string> peer) {
   std::uint64_t token = 0;
   {
     std::lock_guard lock(Mutex);
@@ -103,49 +105,49 @@
       return;
     Fetching = true;
     token = ++Token;
-    FetchEnds = Hooks.Now() + Settings.FetchTimeout;
+    FetchDeadline = Hooks.Now() + Settings.FetchTimeout;
     NextSource = source == Source::Peer ? Source::Table : Source::Peer;
   }
   Hooks.After(Settings.FetchTimeout,
-              [self = shared_from_this(), token] { self->expire(token); });
+              [self = shared_from_this(), token] { self->onTimeout(token); });
   if (source == Source::Peer)
-    askPeer(token, *peer);
+    fetchFromPeer(token, *peer);
   else
-    readTable(token);
+    fetchFromTable(token);
 }
 
-void ConfigReplicator::extend(std::uint64_t token) {
+void ConfigReplicator::restartTimeout(std::uint64_t token) {
   std::lock_guard lock(Mutex);
   if (Token == token)
-    FetchEnds = Hooks.Now() + Settings.FetchTimeout;
+    FetchDeadline = Hooks.Now() + Settings.FetchTimeout;
 }
 
-ConfigHooks ConfigReplicator::watched(std::uint64_t token) {
+ConfigHooks ConfigReplicator::timeoutExtendingHooks(std::uint64_t token) {
   ConfigHooks hooks = Hooks;
   hooks.AskPeer = [self = shared_from_this(), token](auto peer, auto fetch,
                                                      auto done) {
-    self->extend(token);
+    self->restartTimeout(token);
     self->Hooks.AskPeer(std::move(peer), fetch, std::move(done));
   };
   hooks.GetObject = [self = shared_from_this(), token](auto name, auto done) {
-    self->extend(token);
+    self->restartTimeout(token);
     self->Hooks.GetObject(std::move(name), std::move(done));
   };
   return hooks;
 }
 
-void ConfigReplicator::expire(std::uint64_t token) {
+void ConfigReplicator::onTimeout(std::uint64_t token) {
   Span left{};
   {
     std::lock_guard lock(Mutex);
     if (!Fetching || Token != token)
       return;
-    left = FetchEnds - Hooks.Now();
+    left = FetchDeadline - Hooks.Now();
   }
   if (left <= Span(0))
-    return finish(token, false);
+    return finishFetch(token, false);
   Hooks.After(left,
-              [self = shared_from_this(), token] { self->expire(token); });
+              [self = shared_from_this(), token] { self->onTimeout(token); });
 }
 
 bool ConfigReplicator::isStale(std::uint64_t token) const {
@@ -153,7 +155,7 @@
   return !Fetching || Token != token;
 }
 
-void ConfigReplicator::finish(std::uint64_t token, bool progress) {
+void ConfigReplicator::finishFetch(std::uint64_t token, bool progress) {
   {
     std::lock_guard lock(Mutex);
     if (!Fetching || Token != token)
@@ -162,13 +164,14 @@
     if (progress)
       NextSource = Source::Peer;
   }
-  // Without progress the next round goes on, so that a peer or a table that
-  // fails at once isn't asked in a tight loop.
+  // Without progress the next fetch starts in the next round, so that a peer or
+  // a table that fails at once isn't queried in a tight loop.
   if (progress)
     catchUp();
 }
 
-void ConfigReplicator::askPeer(std::uint64_t token, const std::string &peer) {
+void ConfigReplicator::fetchFromPeer(std::uint64_t token,
+                                     const std::string &peer) {
   Hooks.AskPeer(peer, {current()->number(), -1},
                 [self = shared_from_this(), token, peer](auto answer) {
                   self->onPeerAnswer(token, peer, std::move(answer));
@@ -181,31 +184,32 @@
   if (isStale(token))
     return;
   if (!answer)
-    return finish(token, false);
+    return finishFetch(token, false);
   {
     std::lock_guard lock(Mutex);
-    Heard = true;
+    HasReport = true;
     Target = std::max(Target, answer->Number);
   }
   if (answer->TooOld)
-    return transferFrom(token, peer);
+    return transferAll(token, peer);
   bool progress = false;
   for (const auto &text : answer->Deltas)
-    progress = applyText(text) || progress;
-  finish(token, progress);
+    progress = applyEncoded(text) || progress;
+  finishFetch(token, progress);
 }
 
-void ConfigReplicator::transferFrom(std::uint64_t token,
-                                    const std::string &peer) {
+void ConfigReplicator::transferAll(std::uint64_t token,
+                                   const std::string &peer) {
   auto onView = [self = shared_from_this(),
                  token](std::optional<CatalogView> view) {
     bool progress = view && self->replace(std::move(*view));
-    self->finish(token, progress);
+    self->finishFetch(token, progress);
   };
-  std::make_shared<ConfigTransfer>(watched(token), peer, onView)->start();
+  std::make_shared<ConfigTransfer>(timeoutExtendingHooks(token), peer, onView)
+      ->start();
 }
 
-void ConfigReplicator::readTable(std::uint64_t token) {
+void ConfigReplicator::fetchFromTable(std::uint64_t token) {
   Hooks.Table.Get(std::string(ConfigHeadKey),
                   [self = shared_from_this(), token](auto row) {
                     if (self->isStale(token))
@@ -213,20 +217,20 @@
                     auto head = row && *row ? decodeHead((*row)->Value)
                                             : std::optional<ConfigHead>();
                     if (!head)
-                      return self->finish(token, false);
-                    self->readHeadRow(token, *head);
+                      return self->finishFetch(token, false);
+                    self->readMissing(token, *head);
                   });
 }
 
-void ConfigReplicator::readHeadRow(std::uint64_t token,
+void ConfigReplicator::readMissing(std::uint64_t token,
                                    const ConfigHead &head) {
   auto inForce = current()->number();
   if (head.Number <= inForce)
-    return finish(token, false);
+    return finishFetch(token, false);
   // Rows further behind the snapshot may have been removed.
-  if (inForce + Settings.KeepRows < head.Snapshot)
+  if (inForce + Settings.RetainedRows < head.Snapshot)
     return readSnapshot(token, head.Snapshot);
-  if (head.Number - inForce <= Settings.SmallGap)
+  if (head.Number - inForce <= Settings.MaxRowReads)
     return readRow(token);
   readRows(token);
 }
@@ -237,7 +241,7 @@
                     if (self->isStale(token))
                       return;
                     if (!row || !*row)
-                      return self->finish(token, false);
+                      return self->finishFetch(token, false);
                     self->applyRows(token, {(*row)->Value}, 0, false);
                   });
 }
@@ -248,7 +252,7 @@
                      if (self->isStale(token))
                        return;
                      if (!rows)
-                       return self->finish(token, false);
+                       return self->finishFetch(token, false);
                      auto next = configDeltaKey(self->current()->number() + 1);
                      std::vector<std::string> texts;
                      for (auto &row : *rows) {
@@ -263,41 +267,42 @@
                                  std::vector<std::string> rows,
                                  std::size_t index, bool progress) {
   for (; index < rows.size() && !decodeDeltaObjects(rows[index]); ++index)
-    progress = applyText(rows[index]) || progress;
+    progress = applyEncoded(rows[index]) || progress;
   if (index == rows.size())
-    return finish(token, progress);
+    return finishFetch(token, progress);
   auto row = std::move(rows[index]);
-  loadDeltaText(watched(token), std::move(row),
+  loadDeltaText(timeoutExtendingHooks(token), std::move(row),
                 [self = shared_from_this(), token, rows = std::move(rows),
                  index, progress](auto text) mutable {
                   if (self->isStale(token))
                     return;
                   if (!text)
-                    return self->finish(token, progress);
-                  bool applied = self->applyText(*text);
+                    return self->finishFetch(token, progress);
+                  bool applied = self->applyEncoded(*text);
                   self->applyRows(token, std::move(rows), index + 1,
                                   progress || applied);
                 });
 }
 
 void ConfigReplicator::readSnapshot(std::uint64_t token, Revision number) {
-  getObjects(
-      Hooks, configSnapshotName(number), CatalogView::PieceCount,
-      [self = shared_from_this(), token, number](auto pieces) {
-        if (!pieces)
-          return self->finish(token, false);
-        std::vector<ConfigChange> all;
-        for (const auto &text : *pieces) {
-          auto piece = decodePiece(text);
-          if (!piece)
-            return self->finish(token, false);
-          std::move(piece->begin(), piece->end(), std::back_inserter(all));
-        }
-        self->finish(token, self->replace(CatalogView().with(number, all)));
-      });
+  getObjects(Hooks, configSnapshotName(number), CatalogView::PieceCount,
+             [self = shared_from_this(), token, number](auto pieces) {
+               if (!pieces)
+                 return self->finishFetch(token, false);
+               std::vector<ConfigChange> all;
+               for (const auto &text : *pieces) {
+                 auto piece = decodePiece(text);
+                 if (!piece)
+                   return self->finishFetch(token, false);
+                 std::move(piece->begin(), piece->end(),
+                           std::back_inserter(all));
+               }
+               self->finishFetch(
+                   token, self->replace(CatalogView().with(number, all)));
+             });
 }
 
-bool ConfigReplicator::applyText(const std::string &text) {
+bool ConfigReplicator::applyEncoded(const std::string &text) {
   auto delta = decodeDelta(text);
   if (!delta)
     return false;
@@ -316,7 +321,7 @@
     std::lock_guard lock(ApplyMutex);
     if (!Store.replace(std::move(view)))
       return false;
-    History.restart();
+    History.clearDeltas();
   }
   publish();
   return true;
@@ -327,7 +332,8 @@
   if (Publishing)
     return;
   Publishing = true;
-  // One thread calls the hook at a time; what comes meanwhile it sees here.
+  // One thread calls the hook at a time; it also reports revisions that other
+  // threads put in force meanwhile.
   for (auto view = current(); view->number() > Published; view = current()) {
     Published = view->number();
     lock.unlock();
@@ -352,7 +358,7 @@
   out.Number = current()->number();
   if (fetch.From >= out.Number)
     return out;
-  auto deltas = History.after(fetch.From);
+  auto deltas = History.deltasAfter(fetch.From);
   out.TooOld = !deltas;
   if (deltas)
     out.Deltas = std::move(*deltas);
@@ -368,16 +374,16 @@
   if (known)
     return done(ConfigAccepted{known, true});
   ConfigCommitRecord record{0, proposal.CommandId, proposal.Operator};
-  auto onEnded = [self = shared_from_this(), record,
-                  done = std::move(done)](ConfigCommit::Ending ending) mutable {
-    if (ending.Result) {
-      record.Number = ending.Result->Number;
-      self->onCommitted(record, ending.DeltaText, ending.Head);
+  auto onDone = [self = shared_from_this(), record, done = std::move(done)](
+                    ConfigCommit::Completion completion) mutable {
+    if (completion.Result) {
+      record.Number = completion.Result->Number;
+      self->onCommitted(record, completion.DeltaText, completion.Head);
     }
-    done(std::move(ending.Result));
+    done(std::move(completion.Result));
   };
   std::make_shared<ConfigCommit>(Settings, Hooks, std::move(proposal),
-                                 current()->number(), std::move(onEnded))
+                                 current()->number(), std::move(onDone))
       ->start();
 }
 
@@ -385,15 +391,15 @@
                                    const std::string &text,
                                    const ConfigHead &head) {
   if (!text.empty())
-    applyText(text);
+    applyEncoded(text);
   {
     std::lock_guard lock(Mutex);
-    Heard = true;
+    HasReport = true;
     Target = std::max({Target, record.Number, head.Number});
   }
   catchUp();
   auto view = current();
-  if (view->number() >= head.Snapshot + Settings.SnapshotEvery)
+  if (view->number() >= head.Snapshot + Settings.SnapshotInterval)
     Snapshots->write(view);
 }
 
--- a/Hemlockglade/Coordination/Config/ConfigTypes.h
+++ b/Hemlockglade/Coordination/Config/ConfigTypes.h
@@ -5,7 +5,7 @@
 
 namespace hemlockglade {
 
-/// One accepted commit, as others are told of it.
+/// An accepted commit, as the head row and a conflict report it.
 struct ConfigCommitRecord {
   Revision Number = 0;
   std::string CommandId;
@@ -13,46 +13,48 @@
   bool operator==(const ConfigCommitRecord &) const = default;
 };
 
-/// The row `config/head`: the newest revision and how it came about.
+/// The row `config/head`: the newest revision and the commits that led to it.
 struct ConfigHead {
   Revision Number = 0;
-  /// Newest revision of which the object store has a snapshot; 0 for none.
+  /// Newest revision that has a snapshot in the object store; 0 for none.
   Revision Snapshot = 0;
   /// The last commits, oldest first.
   std::vector<ConfigCommitRecord> Commits;
 };
 
-/// What an operator wants changed.
+/// Changes that an operator proposes.
 struct ConfigProposal {
-  /// Chosen by the operator's tool; a repeat of the command has the same.
+  /// Chosen by the operator's tool; a retry of the command has the same.
   std::string CommandId;
   std::string Operator;
-  /// Revision that the changes were worked out against. A repeat has the same
-  /// one; since a revision has one successor, a command that is repeated with
-  /// its base takes effect once, however late the repeat comes.
+  /// Revision that the changes are based on. A retry has the same one. Since a
+  /// revision has only one successor, a command takes effect at most once,
+  /// however late it is retried.
   Revision Base = 0;
   std::vector<ConfigChange> Changes;
 };
 
-/// A proposal that was accepted.
+/// Result of an accepted proposal.
 struct ConfigAccepted {
   Revision Number = 0;
-  /// The command had been accepted before.
-  bool Repeated = false;
+  /// Whether the command had been accepted before this call.
+  bool AlreadyAccepted = false;
 };
 
 /// Why a proposal was not accepted.
 enum class ConfigErrorKind : std::uint8_t {
-  /// Another commit came first; nothing was changed.
+  /// Another commit follows the proposal's base; nothing was changed.
   Conflict,
   /// The table or the object store doesn't answer; nothing was changed.
   Unavailable,
-  /// The table is behind what this node has in force; nothing was changed.
+  /// The table's revision is lower than the proposal's base or the revision in
+  /// force on this node; nothing was changed.
   StoreBehind,
-  /// Too many deltas without a snapshot; nothing was changed.
+  /// There are `MaxRows` deltas without a snapshot; nothing was changed.
   Full,
   /// The command may have been accepted: there was no answer, or it is so old
-  /// that the table no longer says. Repeat it with its id and base.
+  /// that the table has no record of it. The caller can retry it with the same
+  /// id and base.
   Unknown,
 };
 
@@ -65,11 +67,11 @@
 using ConfigCallback =
     std::function<void(tl::expected<ConfigAccepted, ConfigError>)>;
 
-/// What one node asks another about the configuration.
+/// Request from one node to another for parts of the configuration.
 struct ConfigFetch {
-  /// Deltas after this revision are wanted.
+  /// Requests the deltas after this revision.
   Revision From = 0;
-  /// If not negative: that piece of the whole configuration is wanted.
+  /// If not negative, requests this piece of the whole configuration instead.
   std::int32_t Piece = -1;
 };
 
@@ -77,65 +79,70 @@
 struct ConfigAnswer {
   /// Revision in force at the peer.
   Revision Number = 0;
-  /// The peer has no longer all deltas that are wanted; ask for pieces.
+  /// The peer no longer has all requested deltas; pieces must be requested.
   bool TooOld = false;
-  /// Deltas, encoded, without a gap from the wanted revision on.
+  /// Encoded deltas, without a gap from the requested revision on.
   std::vector<std::string> Deltas;
-  /// The wanted piece, encoded.
+  /// The requested piece, encoded.
   std::string Piece;
 };
 
-/// Limits and times of the configuration's keeping.
+/// Intervals, timeouts and limits of the configuration's replication.
 struct ConfigSettings {
-  /// Time between two looks at the table's head.
+  /// Interval between two reads of the table's head row.
   Span TableInterval = std::chrono::seconds(10);
-  /// Time after which a fetch is given up whose last step isn't answered.
+  /// Time after which a fetch fails if its last step has no answer.
   Span FetchTimeout = std::chrono::seconds(3);
-  /// Time before an unanswered commit is looked at again.
+  /// Delay before the head row is read again, after it couldn't be read to find
+  /// out the outcome of a commit.
   Span RetryDelay = std::chrono::milliseconds(500);
-  /// Times that a commit is tried before its outcome is called unknown.
-  std::uint32_t CommitTries = 8;
-  /// Commits that the head row names.
-  std::size_t HeadCommits = 64;
+  /// Submissions and failed reads of one commit before its outcome is reported
+  /// as unknown.
+  std::uint32_t MaxCommitAttempts = 8;
+  /// Max commits that are listed in the head row.
+  std::size_t MaxHeadCommits = 64;
   /// Commits between two snapshots.
-  std::uint64_t SnapshotEvery = 256;
-  /// Delta rows that are kept behind a snapshot.
-  std::uint64_t KeepRows = 64;
-  /// Delta rows after which commits are refused until a snapshot is written.
+  std::uint64_t SnapshotInterval = 256;
+  /// Delta rows that are kept from before the newest snapshot.
+  std::uint64_t RetainedRows = 64;
+  /// Commits without a snapshot after which further commits are refused.
   std::uint64_t MaxRows = 4096;
-  /// Longest delta that is put into its row; longer ones go to the object
-  /// store, in objects of this size. Bytes.
+  /// Max size of a delta that is stored in its row, in bytes. Larger ones are
+  /// stored in the object store, in objects of this size.
   std::size_t MaxRowBytes = 128UL * 1024;
-  /// Encoded deltas that a node keeps for its peers, in bytes.
-  std::size_t KeepBytes = 2UL * 1024 * 1024;
-  /// Deltas in one answer to a peer, in bytes; one delta always goes.
-  std::size_t AnswerBytes = 64UL * 1024;
-  /// Gap up to which deltas are read row by row rather than by a scan.
-  std::uint64_t SmallGap = 16;
+  /// Max bytes of encoded deltas that a node keeps for its peers.
+  std::size_t MaxHistoryBytes = 2UL * 1024 * 1024;
+  /// Max bytes of deltas in one answer to a peer; one delta is always sent.
+  std::size_t MaxAnswerBytes = 64UL * 1024;
+  /// Max number of missing deltas that are read row by row rather than by a
+  /// scan.
+  std::uint64_t MaxRowReads = 16;
 };
 
-/// What the keeper needs from its node. All functions return at once; the
-/// callbacks may come on any thread, late, or never.
+/// Functions that the replicator needs from its node. All return at once; the
+/// callbacks may be called on any thread, late, or never.
 struct ConfigHooks {
   std::function<Instant()> Now;
-  /// Calls back after a delay.
+  /// Calls the function after the delay.
   std::function<void(Span, std::function<void()>)> After;
   TableHooks Table;
-  /// Puts an object; tells whether it is there.
+  /// Writes an object; `done` gets whether it is stored.
   std::function<void(std::string name, std::string data,
                      std::function<void(bool)> done)>
       PutObject;
   std::function<void(std::string name,
                      std::function<void(std::optional<std::string>)> done)>
       GetObject;
-  /// Removes an object; nothing waits for it.
+  /// Removes an object, without reporting the result.
   std::function<void(std::string name)> DropObject;
-  /// Name of a live peer to ask, another one now and then; nothing if alone.
+  /// Returns a live peer to pass to `AskPeer`, not always the same; nothing if
+  /// there is none.
   std::function<std::optional<std::string>()> AnyPeer;
   std::function<void(std::string peer, ConfigFetch fetch,
                      std::function<void(std::optional<ConfigAnswer>)> done)>
       AskPeer;
-  /// A higher revision is in force. Calls come in rising order.
+  /// Called when a higher revision is in force, one call at a time and in
+  /// rising order of revisions.
   std::function<void(std::shared_ptr<const CatalogView>)> OnInForce;
 };
 
--- a/Hemlockglade/Coordination/Config/SnapshotWriter.cpp
+++ b/Hemlockglade/Coordination/Config/SnapshotWriter.cpp
@@ -5,7 +5,7 @@
 namespace hemlockglade {
 
 namespace {
-/// Rows that one transaction removes.
+/// Max rows that one transaction removes.
 constexpr std::size_t TrimBatch = 64;
 } // namespace
 
@@ -17,15 +17,15 @@
     pieces->push_back(encodePiece(*view, it));
   auto number = view->number();
   putObjects(Hooks, configSnapshotName(number), pieces,
-             [self = shared_from_this(), number](bool there) {
-               if (there)
-                 self->name(number);
+             [self = shared_from_this(), number](bool stored) {
+               if (stored)
+                 self->recordInHead(number);
                else
                  self->Writing = false;
              });
 }
 
-void SnapshotWriter::name(Revision number) {
+void SnapshotWriter::recordInHead(Revision number) {
   Hooks.Table.Get(std::string(ConfigHeadKey),
                   [self = shared_from_this(), number](auto row) {
                     if (row && *row)
@@ -51,10 +51,11 @@
                      [self = shared_from_this(), number, old](auto result) {
                        if (result)
                          return self->trim(number, old);
-                       // A commit came between: name it in the new head. Any
-                       // other failure is left to the next snapshot.
+                       // A commit changed the head meanwhile: record the
+                       // snapshot in the new one. After any other failure the
+                       // next snapshot does.
                        if (result.error() == TableError::Conflict)
-                         return self->name(number);
+                         return self->recordInHead(number);
                        self->Writing = false;
                      });
 }
@@ -73,7 +74,7 @@
 
 void SnapshotWriter::removeRows(Revision number, std::vector<TableRow> rows) {
   auto keep = configDeltaKey(
-      number > Settings.KeepRows ? number - Settings.KeepRows : 0);
+      number > Settings.RetainedRows ? number - Settings.RetainedRows : 0);
   TableTransaction transaction;
   std::vector<ConfigDeltaObjects> objects;
   while (!rows.empty() && transaction.Writes.size() < TrimBatch) {
@@ -81,8 +82,8 @@
     rows.pop_back();
     if (row.Key > keep)
       continue;
-    if (auto pointed = decodeDeltaObjects(row.Value))
-      objects.push_back(*pointed);
+    if (auto found = decodeDeltaObjects(row.Value))
+      objects.push_back(*found);
     transaction.Writes.push_back({row.Key, row.Version, std::nullopt});
   }
   if (transaction.Writes.empty()) {
--- a/UnitTests/Coordination/Config/ConfigReplicatorTest.cpp
+++ b/UnitTests/Coordination/Config/ConfigReplicatorTest.cpp
@@ -21,7 +21,7 @@
   return {it, current % 5 == 0};
 }
 
-/// A few changes; now and then so many that they don't fit a row.
+/// A few changes; with a probability of 0.1 more than fit into a row.
 std::vector<ConfigChange> someChanges(ConfigWorld &world) {
   std::vector<ConfigChange> out;
   auto n = world.chance(0.1) ? 30 : 1 + world.Random() % 3;
@@ -31,7 +31,8 @@
   return out;
 }
 
-/// One step of a schedule: something fails, somebody proposes, time passes.
+/// One random step of a schedule: a fault, a restart or proposals, then a few
+/// seconds pass.
 void step(ConfigWorld &world, int &commands) {
   auto any = [&] { return nodeName(world.Random() % 4); };
   switch (world.Random() % 8) {
@@ -39,7 +40,7 @@
     world.Table.Down = world.chance(0.5);
     break;
   case 1:
-    world.Nodes[any()].Cut ^= true;
+    world.Nodes[any()].Isolated ^= true;
     break;
   case 2:
     world.start(any());
@@ -59,29 +60,30 @@
   world.run(static_cast<int>(world.Random() % 4));
 }
 
-/// Runs one schedule and gives what was wrong with it.
-std::vector<std::string> schedule(std::uint64_t seed,
-                                  Without without = Without::Nothing) {
-  ConfigWorld world(seed, without);
+/// Runs one schedule and returns the violations found.
+std::vector<std::string>
+schedule(std::uint64_t seed,
+         DisabledMechanism disabled = DisabledMechanism::None) {
+  ConfigWorld world(seed, disabled);
   world.Table.Faults.NotSent = 0.05;
   world.Table.Faults.LoseAnswer = 0.15;
   world.Table.Faults.LoseRequest = 0.1;
   world.Table.Faults.MaxDelay = std::chrono::milliseconds(400);
   world.ObjectLoss = 0.02;
-  world.OldAnswers = 0.2;
+  world.ReplayProbability = 0.2;
   for (int it = 0; it < 4; ++it)
     world.start(nodeName(it));
   int commands = 0;
   for (int it = 0; it < 40; ++it)
     step(world, commands);
   world.settle();
-  return world.Wrong;
+  return world.Violations;
 }
 
-/// A world of two nodes that agree on revision 3.
-struct Settled : ConfigWorld {
-  explicit Settled(Without without = Without::Nothing)
-      : ConfigWorld(7, without) {
+/// Two nodes that have revision 3 in force.
+struct SettledWorld : ConfigWorld {
+  explicit SettledWorld(DisabledMechanism disabled = DisabledMechanism::None)
+      : ConfigWorld(7, disabled) {
     start("entry-0");
     start("entry-1");
     for (int it = 0; it < 3; ++it) {
@@ -94,30 +96,32 @@
 
 } // namespace
 
-TEST_CASE("the configuration holds under any schedule of failures",
+TEST_CASE("the configuration stays consistent under any schedule of failures",
           "[config]") {
-  REQUIRE(rc::check("nothing is found wrong", [] {
+  REQUIRE(rc::check("no violations are found", [] {
     auto seed = *rc::gen::arbitrary<std::uint64_t>();
     for (std::uint64_t it = 0; it < SchedulesPerCase; ++it) {
-      auto wrong = schedule(seed + it * SeedStride);
-      if (!wrong.empty())
-        RC_FAIL(wrong.front());
+      auto violations = schedule(seed + it * SeedStride);
+      if (!violations.empty())
+        RC_FAIL(violations.front());
     }
   }));
 }
 
-TEST_CASE("without its mechanisms the schedules find the fault", "[config]") {
-  for (auto without :
-       {Without::CompareAndSet, Without::ReadBack, Without::PeerRevisions}) {
+TEST_CASE("schedules find violations when a mechanism is disabled",
+          "[config]") {
+  for (auto disabled :
+       {DisabledMechanism::CompareAndSet, DisabledMechanism::ReadBack,
+        DisabledMechanism::PeerRevisions}) {
     bool found = false;
     for (std::uint64_t seed = 1; seed <= 10 && !found; ++seed)
-      found = !schedule(seed, without).empty();
-    INFO(static_cast<int>(without));
+      found = !schedule(seed, disabled).empty();
+    INFO(static_cast<int>(disabled));
     REQUIRE(found);
   }
 }
 
-TEST_CASE("an accepted command whose answer was lost is known by its id",
+TEST_CASE("a retry of a command whose answer was lost returns its revision",
           "[config]") {
   ConfigWorld world(1);
   world.start("entry-0");
@@ -131,12 +135,13 @@
   REQUIRE(results.size() == 2);
   REQUIRE(results.back());
   REQUIRE(results.back()->Number == 1);
-  REQUIRE(world.Nodes["entry-0"].Keeper->current()->number() == 1);
-  REQUIRE(world.Wrong.empty());
+  REQUIRE(world.Nodes["entry-0"].Replicator->current()->number() == 1);
+  REQUIRE(world.Violations.empty());
 }
 
-TEST_CASE("the second of two operators hears of the first", "[config]") {
-  Settled world;
+TEST_CASE("of two commands on one base the second gets a conflict",
+          "[config]") {
+  SettledWorld world;
   world.propose("entry-0", "first", {adapterChange(1, 2)}, 3);
   world.propose("entry-1", "second", {adapterChange(2, 2)}, 3);
   world.run(2);
@@ -150,31 +155,31 @@
   REQUIRE(loser.error().First ==
           ConfigCommitRecord{4, winner, "operator-of-" + winner});
   world.settle();
-  REQUIRE(world.Wrong.empty());
+  REQUIRE(world.Violations.empty());
 }
 
-TEST_CASE("a node that starts while the store is down learns from peers",
+TEST_CASE("a node that starts while the table is down fetches from peers",
           "[config]") {
-  for (auto without : {Without::Nothing, Without::Peers}) {
-    Settled world(without);
+  for (auto disabled : {DisabledMechanism::None, DisabledMechanism::Peers}) {
+    SettledWorld world(disabled);
     world.Table.Down = true;
     auto &late = world.start("entry-2");
     world.run(10);
-    bool learns = without == Without::Nothing;
-    REQUIRE(late.Keeper->caughtUp() == learns);
-    REQUIRE(late.InForce == (learns ? 3 : 0));
+    bool canFetch = disabled == DisabledMechanism::None;
+    REQUIRE(late.Replicator->caughtUp() == canFetch);
+    REQUIRE(late.InForce == (canFetch ? 3 : 0));
   }
 }
 
-TEST_CASE("a table that is older than what is in force changes nothing",
+TEST_CASE("proposals are refused when the table is behind the node",
           "[config]") {
-  Settled world;
+  SettledWorld world;
   auto old = world.Table.Rows;
   world.propose("entry-0", "c3", {adapterChange(9, 1)});
   world.run(15);
   world.Table.Rows = old;
   world.propose("entry-0", "c4", {adapterChange(9, 2)});
-  // Against the table's own revision it would make another fourth one.
+  // Based on the table's old revision, this would make a second revision 4.
   world.propose("entry-0", "c5", {adapterChange(9, 3)}, 3);
   world.run(30);
   for (const auto *id : {"c4", "c5"})
@@ -197,10 +202,10 @@
   REQUIRE(world.Commands["c13"].Results[0].error().Kind ==
           ConfigErrorKind::Full);
   world.ObjectLoss = 0;
-  REQUIRE(world.Wrong.empty());
+  REQUIRE(world.Violations.empty());
 }
 
-TEST_CASE("when all nodes start anew the table and the snapshot are enough",
+TEST_CASE("restarted nodes recover from the table and the snapshot",
           "[config]") {
   ConfigWorld world(5);
   world.start("entry-0");
@@ -208,10 +213,10 @@
     world.propose("entry-0", "c" + std::to_string(it), {adapterChange(it, 1)});
     world.run(1);
   }
-  // The first rows are trimmed, yet the gap is small.
+  // The first rows are trimmed although the number of missing deltas is small.
   REQUIRE_FALSE(world.Table.Rows.contains(configDeltaKey(1)));
   world.start("entry-0");
   world.start("entry-1");
   world.settle();
-  REQUIRE(world.Wrong.empty());
+  REQUIRE(world.Violations.empty());
 }
--- a/UnitTests/Coordination/Config/ConfigWorld.h
+++ b/UnitTests/Coordination/Config/ConfigWorld.h
@@ -7,45 +7,46 @@
 
 namespace hemlockglade::test {
 
-/// Mechanisms that a test can take away, to see that its check then fails.
-enum class Without : std::uint8_t {
-  Nothing,
-  /// The table writes whatever version a row is at.
+/// Mechanisms that a test can disable, to show that its check then fails.
+enum class DisabledMechanism : std::uint8_t {
+  None,
+  /// The table writes rows regardless of their version.
   CompareAndSet,
-  /// What is read back never names a commit.
+  /// Rows that are read have no command ids.
   ReadBack,
-  /// A peer that is behind answers as if it were not.
+  /// The deltas of a peer's answer get the revisions that were requested.
   PeerRevisions,
-  /// No peer can be asked.
+  /// There are no peers to ask.
   Peers,
 };
 
-/// Keepers on virtual time with a failing table, an object store and peers
-/// that can be cut, late, or repeat old answers; and a check of what came of
-/// it.
+/// Replicators on virtual time with a failing table, an object store, and peers
+/// that can be isolated, late, or repeat old answers. Checks the revisions in
+/// force and the results of commands.
 class ConfigWorld {
 public:
   struct Node {
-    std::shared_ptr<ConfigReplicator> Keeper;
-    bool Cut = false;
+    std::shared_ptr<ConfigReplicator> Replicator;
+    bool Isolated = false;
     std::vector<ConfigAnswer> OldAnswers;
     Revision InForce = 0;
-    /// What a node of an earlier start still does is not this node's.
-    std::uint64_t Start = 0;
+    /// Number of the node's start; hooks of earlier starts are ignored.
+    std::uint64_t StartNumber = 0;
   };
   struct Command {
     ConfigProposal Proposal;
     std::vector<tl::expected<ConfigAccepted, ConfigError>> Results;
   };
 
-  ConfigWorld(std::uint64_t seed, Without without = Without::Nothing)
-      : Table(Time, seed), Random(seed), Off(without) {
-    Settings.SnapshotEvery = 8;
-    Settings.KeepRows = 4;
-    Settings.HeadCommits = 4;
+  ConfigWorld(std::uint64_t seed,
+              DisabledMechanism disabled = DisabledMechanism::None)
+      : Table(Time, seed), Random(seed), Disabled(disabled) {
+    Settings.SnapshotInterval = 8;
+    Settings.RetainedRows = 4;
+    Settings.MaxHeadCommits = 4;
     Settings.MaxRowBytes = 400;
-    Settings.KeepBytes = 2000;
-    Settings.AnswerBytes = 600;
+    Settings.MaxHistoryBytes = 2000;
+    Settings.MaxAnswerBytes = 600;
     Table.OnCommitted = [this](const TableTransaction &it) { onRows(it); };
   }
 
@@ -57,63 +58,66 @@
   std::map<std::string, std::string> Objects;
   std::map<std::string, Command> Commands;
   double ObjectLoss = 0;
-  double OldAnswers = 0;
-  /// What was found to be wrong; empty if nothing was.
-  std::vector<std::string> Wrong;
+  double ReplayProbability = 0;
+  /// Violations found; empty if there were none.
+  std::vector<std::string> Violations;
 
   bool chance(double p) {
     return std::uniform_real_distribution<double>(0, 1)(Random) < p;
   }
 
-  /// Starts a node, or starts it anew with nothing kept.
+  /// Starts a node, or restarts it without its state.
   Node &start(const std::string &name) {
     auto &node = Nodes[name];
     node = {};
-    node.Start = ++Starts;
-    node.Keeper = std::make_shared<ConfigReplicator>(Settings, hooks(name));
+    node.StartNumber = ++Starts;
+    node.Replicator = std::make_shared<ConfigReplicator>(Settings, hooks(name));
     return node;
   }
 
-  /// Proposes under that id at a node; a repeat takes the first proposal.
+  /// Proposes changes under a command id at a node; a retry of the id sends the
+  /// first proposal again.
   void propose(const std::string &node, const std::string &id,
                std::vector<ConfigChange> changes = {},
                std::optional<Revision> base = std::nullopt) {
     if (!base)
-      base = Nodes[node].Keeper->current()->number();
+      base = Nodes[node].Replicator->current()->number();
     auto &command = Commands[id];
     if (command.Proposal.CommandId.empty())
       command.Proposal = {id, "operator-of-" + id, *base, std::move(changes)};
-    Nodes[node].Keeper->propose(command.Proposal, [this, id](auto result) {
+    Nodes[node].Replicator->propose(command.Proposal, [this, id](auto result) {
       Commands[id].Results.push_back(std::move(result));
     });
   }
 
-  /// Lets time pass with rounds each second and heads told around.
+  /// Advances the time, with a round each second in which each node gets the
+  /// revision of a random peer.
   void run(int seconds) {
     for (int it = 0; it < seconds; ++it) {
       for (auto &[name, node] : Nodes) {
-        node.Keeper->round();
+        node.Replicator->round();
         auto peer = anyPeer(name);
-        if (peer && !node.Cut && !Nodes[*peer].Cut)
-          node.Keeper->learn(Nodes[*peer].Keeper->current()->number(), *peer);
+        if (peer && !node.Isolated && !Nodes[*peer].Isolated)
+          node.Replicator->learn(Nodes[*peer].Replicator->current()->number(),
+                                 *peer);
       }
       Time.advance(std::chrono::seconds(1));
     }
   }
 
-  /// Ends all faults, waits, and looks whether everybody came to the same.
+  /// Ends all faults, waits, and checks that all nodes have the same revision.
   void settle() {
     Table.Faults = {};
     Table.Down = false;
-    ObjectLoss = OldAnswers = 0;
+    ObjectLoss = ReplayProbability = 0;
     for (auto &[name, node] : Nodes)
-      node.Cut = false;
+      node.Isolated = false;
     run(90);
     for (auto &[name, node] : Nodes) {
       if (node.InForce != Accepted.size())
-        wrong(name + " stays behind");
-      if (!node.Keeper->caughtUp())
-        wrong(name + " isn't caught up");
+        addViolation(name + " stays at an old revision");
+      if (!node.Replicator->caughtUp())
+        addViolation(name + " isn't caught up");
     }
     for (auto &[id, command] : Commands)
       checkCommand(id, command);
@@ -122,12 +126,12 @@
           return it.first.starts_with(ConfigDeltaPrefix);
         });
     if (static_cast<std::uint64_t>(rows) >
-        3 * Settings.SnapshotEvery + Settings.KeepRows)
-      wrong("delta rows aren't bounded");
+        3 * Settings.SnapshotInterval + Settings.RetainedRows)
+      addViolation("delta rows aren't bounded");
   }
 
 private:
-  void wrong(std::string text) { Wrong.push_back(std::move(text)); }
+  void addViolation(std::string text) { Violations.push_back(std::move(text)); }
 
   static std::string content(const CatalogView &view) {
     std::string out;
@@ -136,7 +140,8 @@
     return out;
   }
 
-  /// The table's own history is the truth: each revision is accepted once.
+  /// Checks that the table accepts each revision once, and records it as the
+  /// expected state.
   void onRows(const TableTransaction &transaction) {
     for (const auto &write : transaction.Writes) {
       if (!write.Key.starts_with(ConfigDeltaPrefix) || !write.Value)
@@ -149,7 +154,7 @@
       }
       auto delta = decodeDelta(text);
       if (!delta || delta->Number != Accepted.size() + 1)
-        return wrong("a revision was written twice or out of order");
+        return addViolation("a revision was written twice or out of order");
       auto base = Accepted.empty() ? CatalogView() : Views.back();
       Views.push_back(base.with(delta->Number, delta->Changes));
       Accepted.push_back(delta->CommandId);
@@ -159,26 +164,26 @@
   void onInForce(const std::string &name, const CatalogView &view) {
     auto &node = Nodes[name];
     if (view.number() <= node.InForce)
-      wrong(name + " went back");
+      addViolation(name + " has a lower revision than before");
     node.InForce = view.number();
     if (view.number() > Views.size())
-      return wrong(name + " is ahead of the table");
+      return addViolation(name + " is ahead of the table");
     if (content(Views[view.number() - 1]) != content(view))
-      wrong(name + " has another content");
+      addViolation(name + " has wrong content");
   }
 
   void checkCommand(const std::string &id, const Command &command) {
     auto times = std::count(Accepted.begin(), Accepted.end(), id);
     if (times > 1)
-      wrong(id + " took effect twice");
-    bool repeated = command.Results.size() > 1;
+      addViolation(id + " took effect twice");
+    bool retried = command.Results.size() > 1;
     for (const auto &it : command.Results) {
       if (it && (times == 0 || Accepted[it->Number - 1] != id))
-        wrong(id + " is said to be accepted and isn't");
-      // With repeats under way an earlier or later try may have gone through.
+        addViolation(id + " is reported as accepted and isn't");
+      // With retries an earlier or later submission may have been accepted.
       bool refused = !it && it.error().Kind != ConfigErrorKind::Unknown;
-      if (refused && times > 0 && !repeated)
-        wrong(id + " is said to be refused and took effect");
+      if (refused && times > 0 && !retried)
+        addViolation(id + " is reported as refused and took effect");
       if (!it && it.error().Kind == ConfigErrorKind::Conflict)
         checkFirst(id, command.Proposal.Base + 1, it.error().First);
     }
@@ -188,11 +193,11 @@
                   const std::optional<ConfigCommitRecord> &first) {
     if (!first || first->Number != number || number > Accepted.size() ||
         first->CommandId != Accepted[number - 1] || first->CommandId == id)
-      wrong(id + " isn't told who came first");
+      addViolation(id + " doesn't get the commit that came first");
   }
 
   std::optional<std::string> anyPeer(const std::string &name) {
-    if (Nodes.size() < 2 || Off == Without::Peers)
+    if (Nodes.size() < 2 || Disabled == DisabledMechanism::Peers)
       return std::nullopt;
     auto it = Nodes.begin();
     do {
@@ -227,7 +232,7 @@
     hooks.AskPeer = [this, name](const std::string &peer, ConfigFetch fetch,
                                  auto done) { ask(name, peer, fetch, done); };
     hooks.OnInForce = [this, name, start = Starts](auto view) {
-      if (Nodes[name].Start == start)
+      if (Nodes[name].StartNumber == start)
         onInForce(name, *view);
     };
     return hooks;
@@ -235,7 +240,7 @@
 
   TableHooks tableHooks() {
     auto hooks = Table.hooks();
-    if (Off == Without::CompareAndSet)
+    if (Disabled == DisabledMechanism::CompareAndSet)
       hooks.Commit = [this, inner = hooks.Commit](TableTransaction transaction,
                                                   auto done) {
         for (auto &it : transaction.Writes)
@@ -243,18 +248,18 @@
               Table.Rows.contains(it.Key) ? Table.Rows[it.Key].Version : 0;
         inner(std::move(transaction), std::move(done));
       };
-    if (Off == Without::ReadBack)
+    if (Disabled == DisabledMechanism::ReadBack)
       hooks.Get = [inner = hooks.Get](std::string key, auto done) {
         inner(std::move(key), [done](auto row) {
           if (row && *row)
-            forgetCommits((*row)->Value);
+            clearCommandIds((*row)->Value);
           done(std::move(row));
         });
       };
     return hooks;
   }
 
-  static void forgetCommits(std::string &value) {
+  static void clearCommandIds(std::string &value) {
     if (auto delta = decodeDelta(value)) {
       delta->CommandId.clear();
       value = encodeDelta(*delta);
@@ -268,27 +273,27 @@
   void ask(const std::string &name, const std::string &peer, ConfigFetch fetch,
            std::function<void(std::optional<ConfigAnswer>)> done) {
     auto delay = std::chrono::milliseconds(1 + Random() % 50);
-    // Now and then so late that the fetch has been given up.
-    if (chance(OldAnswers / 20))
+    // Some answers come after the fetch has timed out.
+    if (chance(ReplayProbability / 20))
       delay += std::chrono::seconds(1 + Random() % 20);
     Time.after(delay, [this, name, peer, fetch, done] {
       auto &node = Nodes[peer];
-      if (Nodes[name].Cut || node.Cut)
-        return; // Never answered.
-      auto answer = node.Keeper->answer(fetch);
+      if (Nodes[name].Isolated || node.Isolated)
+        return; // No answer.
+      auto answer = node.Replicator->answer(fetch);
       if (fetch.Piece < 0 && !answer.Deltas.empty())
         node.OldAnswers.push_back(answer);
-      if (!node.OldAnswers.empty() && chance(OldAnswers))
+      if (!node.OldAnswers.empty() && chance(ReplayProbability))
         answer = node.OldAnswers[Random() % node.OldAnswers.size()];
-      if (Off == Without::PeerRevisions)
+      if (Disabled == DisabledMechanism::PeerRevisions)
         renumber(answer, fetch);
       done(answer);
-      if (chance(OldAnswers))
-        done(answer); // Doubled.
+      if (chance(ReplayProbability))
+        done(answer); // Duplicate answer.
     });
   }
 
-  /// Gives the deltas of an answer the numbers that were asked for.
+  /// Gives the deltas of an answer the revisions that were requested.
   static void renumber(ConfigAnswer &answer, const ConfigFetch &fetch) {
     auto number = fetch.From;
     for (auto &text : answer.Deltas) {
@@ -298,7 +303,7 @@
     }
   }
 
-  Without Off;
+  DisabledMechanism Disabled;
   std::uint64_t Starts = 0;
   /// Command of each revision that the table has accepted, from 1 on.
   std::vector<std::string> Accepted;
