--- a/Hemlockglade/State/Catalog.cpp
+++ b/Hemlockglade/State/Catalog.cpp
@@ -24,8 +24,8 @@
 }
 
 std::string cellOf(const ServiceConfig &service, std::string_view key) {
-  // One buffer for all names: this runs for each request and, at a change of
-  // the configuration, for each replica.
+  // One buffer for all names avoids allocations: this runs for each request
+  // and, when the configuration changes, for each replica.
   auto name = service.Name + '/';
   auto prefix = name.size();
   name.resize(prefix + std::numeric_limits<std::uint32_t>::digits10 + 1);
--- a/Hemlockglade/State/Catalog.h
+++ b/Hemlockglade/State/Catalog.h
@@ -9,11 +9,11 @@
 
 namespace hemlockglade {
 
-/// What stands behind a service.
+/// Kind of a service's endpoints.
 enum class ServiceKind : std::uint8_t {
   /// Model engines that load adapters.
   Engine,
-  /// A plain service; its replicas take calls and hold no adapters.
+  /// A plain service, whose replicas take calls and have no adapters.
   Plain,
 };
 
@@ -25,8 +25,8 @@
   std::uint32_t Cells = 1;
   /// Base model, for engines.
   std::string BaseModel;
-  /// What the decisions favour, in percent: 0 for few and short load stalls,
-  /// 100 for full batches.
+  /// Objective of the placement decisions, in percent: 0 favours few and short
+  /// stalls for loading, 100 favours full batches.
   std::uint32_t ObjectivePercent = 0;
 
   bool operator==(const ServiceConfig &) const = default;
@@ -39,9 +39,9 @@
   /// Numeric `ip:port` of the endpoint.
   std::string Address;
   std::string FailureDomain;
-  /// Adapters that fit at once.
+  /// Max adapters that are loaded at once.
   std::uint32_t Slots = 8;
-  /// Requests that run at once.
+  /// Max requests that run at once.
   std::uint32_t Batch = 32;
   /// Whether the endpoint refuses orders with an old fencing number.
   bool ChecksFencing = false;
@@ -49,11 +49,11 @@
   bool operator==(const ReplicaConfig &) const = default;
 };
 
-/// An adapter and the versions that may be asked for.
+/// An adapter and the versions that requests may name.
 struct AdapterConfig {
   std::string Name;
   std::string Service;
-  /// The version that a request without a version means.
+  /// Version for requests that name none.
   std::uint32_t Current = 1;
   std::vector<std::uint32_t> Versions;
 
@@ -63,31 +63,31 @@
 /// A class of requests with a priority of its own.
 struct ServiceClass {
   std::string Name;
-  /// Higher goes first.
+  /// Requests with a higher priority are served first.
   std::uint8_t Priority = 0;
-  /// Time a request may take to its first byte if its caller names none.
+  /// Max time to the first byte of the answer, if the caller sets none.
   Span Deadline = std::chrono::seconds(30);
-  /// Requests of this class that may wait in one cell.
+  /// Max requests of this class that wait in one cell.
   std::uint32_t QueueLimit = 1000;
 
   bool operator==(const ServiceClass &) const = default;
 };
 
-/// A wish to keep copies of an adapter loaded.
+/// A number of copies of an adapter to keep loaded.
 struct PinConfig {
   AdapterRef Adapter;
-  /// Where; empty for anywhere.
+  /// Failure domain of the copies; empty for any.
   std::string FailureDomain;
   std::uint32_t Copies = 1;
 
   bool operator==(const PinConfig &) const = default;
 };
 
-/// Where an adapter's work may run.
+/// Failure domains in which an adapter's requests may run.
 struct PlacementRule {
   /// Adapter name, or a prefix followed by `*`.
   std::string Adapter;
-  /// Failure domains that are allowed.
+  /// The allowed failure domains.
   std::vector<std::string> FailureDomains;
 
   bool operator==(const PlacementRule &) const = default;
@@ -102,7 +102,7 @@
   std::map<std::string, ServiceClass> Classes;
   /// By `pinName`.
   std::map<std::string, PinConfig> Pins;
-  /// In order: the first rule that fits an adapter is the one that counts.
+  /// In order: the first rule that matches an adapter applies.
   std::vector<PlacementRule> Rules;
   /// Replicas that the operators are draining.
   std::map<std::string, bool> Drained;
@@ -110,20 +110,24 @@
   bool operator==(const Catalog &) const = default;
 };
 
-/// Name of a pin: `name@version`, and ` in DOMAIN` if it names one.
+/// Name of a pin: `name@version`, followed by ` in DOMAIN` if it has a failure
+/// domain.
 std::string pinName(const PinConfig &pin);
 
 /// Name of a service's cell: `service/number`.
 std::string cellName(std::string_view service, std::uint32_t number);
 
-/// The cell of a service that owns the key (an adapter's or caller's name).
+/// Returns the cell of a service that a key (an adapter's or caller's name)
+/// belongs to: the one with the highest rendezvous weight. Empty if the service
+/// has no cells.
 std::string cellOf(const ServiceConfig &service, std::string_view key);
 
-/// The cell that a replica belongs to.
+/// Returns the cell that a replica belongs to.
 std::string cellOfReplica(const ServiceConfig &service,
                           const ReplicaConfig &replica);
 
-/// Weight of a rendezvous candidate for a key; the highest wins.
+/// Weight of a candidate for a key in rendezvous hashing; the candidate with
+/// the highest weight is chosen.
 std::uint64_t rendezvousWeight(std::string_view candidate,
                                std::string_view key);
 
--- a/Hemlockglade/State/Config/CatalogView.cpp
+++ b/Hemlockglade/State/Config/CatalogView.cpp
@@ -17,7 +17,7 @@
   return buf.data();
 }
 
-/// The changes of one kind, applied to that kind's map.
+/// Applies the changes to entries of type `T` to the map of that type.
 template <typename T>
 void applyKind(std::shared_ptr<const ShardedMap<T>> &map,
                std::span<const ConfigChange> changes) {
--- a/Hemlockglade/State/Config/CatalogView.h
+++ b/Hemlockglade/State/Config/CatalogView.h
@@ -8,27 +8,27 @@
 
 namespace hemlockglade {
 
-/// The whole configuration at one revision, immutable. Views of neighbouring
-/// revisions share all but what changed between them, so a view is cheap to
-/// keep and cheap to derive.
+/// The whole configuration at one revision, immutable. Views of successive
+/// revisions share all shards but the changed ones, so that keeping a view and
+/// deriving the next one from it are cheap.
 class CatalogView {
 public:
-  /// Pieces that a view is cut into for transfer. An entry is in the same
-  /// piece at every revision.
+  /// Number of pieces that a view is split into for transfer. An entry is in
+  /// the same piece at every revision.
   static constexpr std::size_t PieceCount = 64;
 
   /// An empty configuration, revision 0.
   CatalogView();
-  /// A view of a catalog.
+  /// Returns a view with the catalog's entries and revision.
   static CatalogView of(const Catalog &catalog);
 
   Revision number() const { return Number; }
 
-  /// All entries of one kind.
+  /// Returns all entries of one kind.
   template <typename T> const ShardedMap<T> &all() const {
     return *std::get<MapPtr<T>>(Maps);
   }
-  /// The entry of that kind and name; null if there is none.
+  /// Returns the entry of that kind and name; null if there is none.
   template <typename T>
   std::shared_ptr<const T> find(std::string_view name) const {
     return all<T>().find(name);
@@ -36,14 +36,15 @@
   /// Number of entries of all kinds.
   std::size_t size() const;
 
-  /// The view after the changes, under that revision.
+  /// Returns this view with the changes applied, as revision `number`.
   CatalogView with(Revision number,
                    std::span<const ConfigChange> changes) const;
-  /// What has to change to get from here to `after`.
+  /// Returns the changes that turn this view into `after`.
   std::vector<ConfigChange> changesTo(const CatalogView &after) const;
-  /// Entries of one piece, in a fixed order.
+  /// Returns the entries of one piece, in a fixed order. `index` is below
+  /// `PieceCount`.
   std::vector<ConfigEntry> piece(std::size_t index) const;
-  /// The view as a plain catalog; costs a copy of everything.
+  /// Returns the view as a plain catalog. Copies all entries.
   Catalog catalog() const;
 
 private:
--- a/Hemlockglade/State/Config/ConfigDelta.h
+++ b/Hemlockglade/State/Config/ConfigDelta.h
@@ -6,14 +6,15 @@
 
 namespace hemlockglade {
 
-/// A pin under the name that operators gave it.
+/// A pin and the name that operators gave it.
 struct PinEntry {
   std::string Name;
   PinConfig Pin;
   bool operator==(const PinEntry &) const = default;
 };
 
-/// A placement rule; its name is its position, as six digits.
+/// A placement rule. Its name is its position in the order of rules, as six
+/// digits.
 struct RuleEntry {
   std::string Name;
   PlacementRule Rule;
@@ -33,25 +34,25 @@
 
 /// One changed entry.
 struct ConfigChange {
-  /// The entry as it is from now on; of a removed one only the name counts.
+  /// The entry after the change; of a removed one only the name is used.
   ConfigEntry Entry;
   bool Removed = false;
   bool operator==(const ConfigChange &) const = default;
 };
 
-/// What one accepted commit changed.
+/// The changes of one accepted commit.
 struct ConfigDelta {
-  /// Revision that the configuration has once this is applied.
+  /// Revision of the configuration after this delta is applied.
   Revision Number = 0;
-  /// Id of the operator's command; a repeat has the same id.
+  /// Id of the operator's command; a retry has the same id.
   std::string CommandId;
-  /// Who gave the command.
+  /// The operator who gave the command.
   std::string Operator;
   std::vector<ConfigChange> Changes;
   bool operator==(const ConfigDelta &) const = default;
 };
 
-/// Name of an entry within its kind.
+/// Returns the name of an entry, which is unique within its kind.
 const std::string &entryName(const ConfigEntry &entry);
 
 } // namespace hemlockglade
--- a/Hemlockglade/State/Config/ShardedMap.h
+++ b/Hemlockglade/State/Config/ShardedMap.h
@@ -12,7 +12,7 @@
 namespace hemlockglade {
 
 /// An immutable map from `T::Name` to a `T`, in shards that copies share. A
-/// changed copy costs one array of pointers and the shards that it touches.
+/// changed copy allocates one array of pointers and the changed shards.
 template <typename T> class ShardedMap {
 public:
   using Item = std::shared_ptr<const T>;
@@ -20,12 +20,13 @@
   /// the array and one shard cost about the same to copy.
   static constexpr std::size_t ShardCount = 256;
 
-  /// Shard that a name belongs to; the same on all nodes.
+  /// Returns the index of the shard that a name belongs to; the same on all
+  /// nodes.
   static std::size_t shardOf(std::string_view name) {
     return XXH3_64bits(name.data(), name.size()) % ShardCount;
   }
 
-  /// The item of that name; null if there is none.
+  /// Returns the item of that name; null if there is none.
   Item find(std::string_view name) const {
     const auto &shard = Shards[shardOf(name)];
     if (!shard)
@@ -37,7 +38,7 @@
   /// Number of items.
   std::size_t size() const { return Count; }
 
-  /// Calls `visit(const T &)` for each item of one shard, by rising name.
+  /// Calls `visit(const T &)` for each item of one shard, in order of names.
   template <typename Visit>
   void forEachIn(std::size_t shard, Visit visit) const {
     if (!Shards[shard])
@@ -53,7 +54,7 @@
   }
 
   /// Calls `visit(const T *before, const T *after)` for each item that
-  /// differs; shared shards are passed over.
+  /// differs, with null where there is none. Shared shards are skipped.
   template <typename Visit>
   void forEachDifference(const ShardedMap &after, Visit visit) const {
     for (std::size_t it = 0; it < ShardCount; ++it) {
@@ -62,14 +63,14 @@
     }
   }
 
-  /// Makes a changed copy. Each touched shard is cloned once.
+  /// Makes a changed copy. Each changed shard is copied once.
   class Editor {
   public:
     explicit Editor(const ShardedMap &base) : Next(base) {}
 
     /// Adds the item, or replaces the one of its name.
     void put(T item) {
-      auto &shard = own(shardOf(item.Name));
+      auto &shard = mutableShard(shardOf(item.Name));
       auto it = lowerBound(shard, item.Name);
       bool exists = it != shard.end() && (*it)->Name == item.Name;
       auto next = std::make_shared<const T>(std::move(item));
@@ -85,26 +86,26 @@
     void erase(std::string_view name) {
       if (!Next.find(name))
         return;
-      auto &shard = own(shardOf(name));
+      auto &shard = mutableShard(shardOf(name));
       shard.erase(lowerBound(shard, name));
       --Next.Count;
     }
 
-    /// The changed copy; the editor is empty afterwards.
+    /// Returns the changed copy. The editor must not be used afterwards.
     ShardedMap take() { return std::move(Next); }
 
   private:
-    std::vector<Item> &own(std::size_t shard) {
-      if (!Owned.test(shard)) {
+    std::vector<Item> &mutableShard(std::size_t shard) {
+      if (!Copied.test(shard)) {
         auto &old = Next.Shards[shard];
         old = old ? std::make_shared<Shard>(*old) : std::make_shared<Shard>();
-        Owned.set(shard);
+        Copied.set(shard);
       }
       return *Next.Shards[shard];
     }
 
     ShardedMap Next;
-    std::bitset<ShardCount> Owned;
+    std::bitset<ShardCount> Copied;
   };
 
 private:
--- a/Hemlockglade/State/Ids.h
+++ b/Hemlockglade/State/Ids.h
@@ -13,21 +13,21 @@
 /// A span of time in microseconds.
 using Span = std::chrono::microseconds;
 
-/// Before everything that a node knows of: an hour before its clock's origin.
+/// A time before all events on a node: an hour before its clock's origin.
 inline constexpr Instant LongAgo{-3'600'000'000};
 
-/// A span in seconds, with fractions.
+/// Converts a span to seconds, with fractions.
 inline double inSeconds(Span span) {
   return std::chrono::duration<double>(span).count();
 }
 
-/// A number of seconds as a span, cut to microseconds.
+/// Converts seconds to a span, truncated to microseconds.
 inline Span spanOf(double seconds) {
   constexpr double UsPerS = 1e6;
   return Span(static_cast<std::int64_t>(seconds * UsPerS));
 }
 
-/// A span times a factor.
+/// Multiplies a span by a factor, truncated to microseconds.
 inline Span scaled(Span span, double factor) {
   return Span(
       static_cast<std::int64_t>(static_cast<double>(span.count()) * factor));
@@ -42,20 +42,20 @@
 struct AdapterRef {
   /// Name of the adapter; never empty.
   std::string Name;
-  /// Version; 0 stands for the version that the configuration calls current.
+  /// Version; 0 stands for the current version in the configuration.
   std::uint32_t Version = 0;
 
   bool operator==(const AdapterRef &) const = default;
 
-  /// The reference as text, `name@version`.
+  /// Returns the reference as text, `name@version`.
   std::string text() const;
-  /// Reads `name` or `name@version`; nothing if the text is neither.
+  /// Parses `name` or `name@version`; returns nothing if the text is neither.
   static std::optional<AdapterRef> parse(std::string_view text);
 };
 
-/// What is known about the end of a request.
+/// How a request ended, as far as it is known.
 enum class Outcome : std::uint8_t {
-  /// The endpoint's whole answer went to the caller.
+  /// The endpoint's whole answer was sent to the caller.
   Complete,
   /// The request was not run, and will not be.
   NotRun,
--- a/Hemlockglade/State/State.h
+++ b/Hemlockglade/State/State.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The public header of the State layer: what the system is made of, as data.
+// The public header of the State layer: the system's data types.
 
 #include "Hemlockglade/State/Catalog.h"
 #include "Hemlockglade/State/Config/CatalogStore.h"
--- a/UnitTests/State/CatalogTest.cpp
+++ b/UnitTests/State/CatalogTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace hemlockglade;
 
-TEST_CASE("a key's cell is the one of the highest weight", "[catalog]") {
+TEST_CASE("a key belongs to the cell with the highest weight", "[catalog]") {
   for (std::uint32_t cells : {0, 1, 2, 9, 10, 11, 143, 1001}) {
     ServiceConfig service;
     service.Name = "assistant";
--- a/UnitTests/State/Config/CatalogStoreTest.cpp
+++ b/UnitTests/State/Config/CatalogStoreTest.cpp
@@ -17,7 +17,8 @@
   return out;
 }
 
-/// An arbitrary change over few names, so that puts and removals meet.
+/// An arbitrary change over few names, so that some changes put and remove the
+/// same entry.
 ConfigChange arbitraryChange() {
   auto name = std::to_string(*rc::gen::inRange(0, 12));
   auto value = *rc::gen::inRange<std::uint32_t>(1, 4);
@@ -60,9 +61,9 @@
 
 } // namespace
 
-TEST_CASE("a view holds what its changes say and its base keeps its own",
+TEST_CASE("a view has its changes applied and its base stays unchanged",
           "[config]") {
-  REQUIRE(rc::check("against a plain map", [] {
+  REQUIRE(rc::check("compared with a plain map", [] {
     using Key = std::pair<std::size_t, std::string>;
     std::map<Key, ConfigEntry> model;
     CatalogView view;
@@ -91,17 +92,17 @@
   }));
 }
 
-TEST_CASE("the difference of two views leads from one to the other",
+TEST_CASE("applying the difference of two views turns one into the other",
           "[config]") {
-  REQUIRE(rc::check("whether they share shards or not", [] {
+  REQUIRE(rc::check("with and without shared shards", [] {
     auto first = CatalogView().with(1, arbitraryChanges());
     auto shared = first.with(2, arbitraryChanges());
-    auto apart = CatalogView::of(shared.catalog());
-    for (const auto &target : {shared, apart}) {
+    auto unshared = CatalogView::of(shared.catalog());
+    for (const auto &target : {shared, unshared}) {
       auto changes = first.changesTo(target);
-      auto reached = first.with(2, changes);
-      RC_ASSERT(reached.changesTo(target).empty());
-      RC_ASSERT(reached.size() == target.size());
+      auto result = first.with(2, changes);
+      RC_ASSERT(result.changesTo(target).empty());
+      RC_ASSERT(result.size() == target.size());
       for (const auto &it : changes)
         RC_ASSERT(it.Removed ||
                   first.with(2, {&it, 1}).changesTo(first).size());
@@ -109,19 +110,19 @@
   }));
 }
 
-TEST_CASE("the store's revision only rises", "[config]") {
+TEST_CASE("the store's revision never falls", "[config]") {
   CatalogStore store;
   ConfigDelta first{1, "c1", "amal", {{adapter(1, 1)}}};
   ConfigDelta second{2, "c2", "amal", {{adapter(1, 2)}}};
   REQUIRE_FALSE(store.apply(second));
   REQUIRE(store.apply(first));
-  auto held = store.current();
+  auto firstView = store.current();
   REQUIRE(store.apply(second));
   REQUIRE_FALSE(store.apply(first));
   REQUIRE_FALSE(store.apply(second));
   REQUIRE_FALSE(store.replace(CatalogView().with(2, {})));
   REQUIRE(store.current()->find<AdapterConfig>("adapter-1")->Current == 2);
-  REQUIRE(held->find<AdapterConfig>("adapter-1")->Current == 1);
-  REQUIRE(store.replace(held->with(9, second.Changes)));
+  REQUIRE(firstView->find<AdapterConfig>("adapter-1")->Current == 1);
+  REQUIRE(store.replace(firstView->with(9, second.Changes)));
   REQUIRE(store.current()->number() == 9);
 }
--- a/UnitTests/State/IdsTest.cpp
+++ b/UnitTests/State/IdsTest.cpp
@@ -4,7 +4,8 @@
 
 using namespace hemlockglade;
 
-TEST_CASE("an adapter reference is a name and a version", "[ids]") {
+TEST_CASE("an adapter reference is parsed as a name and an optional version",
+          "[ids]") {
   REQUIRE(AdapterRef::parse("oath-fr@7") == AdapterRef{"oath-fr", 7});
   REQUIRE(AdapterRef::parse("oath-fr") == AdapterRef{"oath-fr", 0});
   REQUIRE(AdapterRef{"oath-fr", 7}.text() == "oath-fr@7");
