--- a/Hemlockglade/Protocol/Settings/CatalogDiff.cpp
+++ b/Hemlockglade/Protocol/Settings/CatalogDiff.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A declaration as named values, for comparing and printing.
+/// The fields of a declaration as names and texts, to compare and print them.
 using Values = std::vector<std::pair<std::string_view, std::string>>;
 
 template <typename List> std::string join(const List &list) {
@@ -59,7 +59,7 @@
   return {{"failure_domains", join(it.FailureDomains)}};
 }
 
-/// A drained replica has no values of its own.
+/// Entries of the drained set have no fields beside their name.
 Values values(bool) { return {}; }
 
 std::string valueText(const Values &values) {
@@ -76,11 +76,11 @@
   for (std::size_t it = 0; it < before.size(); ++it) {
     if (before[it].second == after[it].second)
       continue;
-    auto quoted = [](const std::string &text) {
+    auto orNone = [](const std::string &text) {
       return text.empty() ? std::string("none") : text;
     };
     out += ' ' + std::string(before[it].first) + '=' +
-           quoted(before[it].second) + "->" + quoted(after[it].second);
+           orNone(before[it].second) + "->" + orNone(after[it].second);
   }
   return out;
 }
@@ -118,15 +118,16 @@
                                                           map.end());
 }
 
-std::map<std::string, PlacementRule> byAdapter(const Catalog &catalog) {
+std::map<std::string, PlacementRule> rulesByAdapter(const Catalog &catalog) {
   std::map<std::string, PlacementRule> out;
   for (const auto &it : catalog.Rules)
     out.emplace(it.Adapter, it);
   return out;
 }
 
-/// Names of the rules that stand in both catalogs, in order. The order matters,
-/// since the first rule that fits an adapter is the one that counts.
+/// Returns the names of the rules that both catalogs have, in the order of
+/// `catalog`. The order matters because the first rule that matches an adapter
+/// applies.
 std::string ruleOrder(const Catalog &catalog,
                       const std::map<std::string, PlacementRule> &others) {
   std::vector<std::string> names;
@@ -146,8 +147,8 @@
   diff("replica", before.Replicas, after.Replicas, lines);
   diff("adapter", sorted(before.Adapters), sorted(after.Adapters), lines);
   diff("class", before.Classes, after.Classes, lines);
-  auto oldRules = byAdapter(before);
-  auto newRules = byAdapter(after);
+  auto oldRules = rulesByAdapter(before);
+  auto newRules = rulesByAdapter(after);
   diff("rule", oldRules, newRules, lines);
   auto oldOrder = ruleOrder(before, newRules);
   auto newOrder = ruleOrder(after, oldRules);
--- a/Hemlockglade/Protocol/Settings/CatalogDiff.h
+++ b/Hemlockglade/Protocol/Settings/CatalogDiff.h
@@ -4,9 +4,10 @@
 
 namespace hemlockglade {
 
-/// What changes from one catalog to another, one readable line each: `+` is
-/// added, `-` is removed, `~` is changed and gives the values before and after.
-/// No line means that they are equal, but for the revision.
+/// Returns the differences between two catalogs, one readable line each: `+`
+/// marks what was added, `-` what was removed, and `~` what was changed, with
+/// the old and the new values. The result is empty if the catalogs are equal;
+/// their revisions are not compared.
 std::vector<std::string> diffCatalogs(const Catalog &before,
                                       const Catalog &after);
 
--- a/Hemlockglade/Protocol/Settings/DecisionSettings.h
+++ b/Hemlockglade/Protocol/Settings/DecisionSettings.h
@@ -7,16 +7,17 @@
 
 namespace hemlockglade {
 
-/// How a node decides where requests go, how long they wait and which weights
-/// are loaded where. The defaults serve; each mechanism can be weakened or
-/// switched off, to see what it is worth.
+/// Parameters of a node's decisions: which replica a request is sent to, how
+/// long it may wait, and which weights are loaded on which replica. The
+/// defaults are meant for production; each mechanism can be weakened or
+/// switched off to measure its effect.
 struct DecisionSettings {
   ReplicaView::Settings Route;
-  CellPlacement::Settings Desk;
+  CellPlacement::Settings Placement;
   ExchangeSettings Exchange;
 };
 
-/// Binds the keys of the section `decisions` of a node's settings.
+/// Binds the keys of the section `decisions` of a gateway's settings.
 void bindDecisions(SchemaReader &map, DecisionSettings &out);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Settings/Declarations.cpp
+++ b/Hemlockglade/Protocol/Settings/Declarations.cpp
@@ -17,14 +17,15 @@
 constexpr NumberRange DeadlineRange{1, 3'600'000};
 constexpr NumberRange QueueRange{1, 1'000'000};
 constexpr NumberRange CopiesRange{1, 10'000};
-constexpr std::string_view KindWords[] = {"engine", "plain"};
+constexpr std::string_view ServiceKindNames[] = {"engine", "plain"};
 
 bool isAdapterVersion(std::string_view text) {
   auto adapter = AdapterRef::parse(text);
   return adapter && adapter->Version > 0 && isName(adapter->Name);
 }
 
-/// A name, or a prefix of one followed by `*`.
+/// Returns whether the text is a name, or a possibly empty prefix of one
+/// followed by `*`.
 bool isPattern(std::string_view text) {
   if (!text.ends_with('*'))
     return isName(text);
@@ -32,7 +33,7 @@
   return text.empty() || isName(text);
 }
 
-/// Reads a whole declarations file, one list after the other.
+/// Reads a declarations file into a catalog, one list after the other.
 class DeclarationsReader {
 public:
   DeclarationsReader(FaultList &faults, ReferenceCheck &references)
@@ -49,14 +50,16 @@
   void readRule(SchemaReader &map);
   void readDrained(SchemaReader &root);
 
-  /// Reads a list of mappings with one of the methods above.
+  /// Reads a list of mappings; each item is read by one of the methods above.
   void readList(SchemaReader &root, const char *key,
                 void (DeclarationsReader::*readItem)(SchemaReader &));
-  void refer(SchemaReader &map, const char *key, ReferenceKind kind,
-             const std::string &value);
+  /// Adds a reference to be checked after the whole file has been read.
+  void addReference(SchemaReader &map, const char *key, ReferenceKind kind,
+                    const std::string &value);
+  /// Inserts a value under its name; a duplicate name is a fault.
   template <typename Map, typename T>
-  void insert(SchemaReader &map, const char *key, Map &into,
-              const std::string &name, T value);
+  void insertUnique(SchemaReader &map, const char *key, Map &into,
+                    const std::string &name, T value);
 
   FaultList &Faults;
   ReferenceCheck &References;
@@ -76,15 +79,17 @@
             });
 }
 
-void DeclarationsReader::refer(SchemaReader &map, const char *key,
-                               ReferenceKind kind, const std::string &value) {
+void DeclarationsReader::addReference(SchemaReader &map, const char *key,
+                                      ReferenceKind kind,
+                                      const std::string &value) {
   if (!value.empty())
     References.add({kind, value, map.markOf(key), map.pathOf(key)});
 }
 
 template <typename Map, typename T>
-void DeclarationsReader::insert(SchemaReader &map, const char *key, Map &into,
-                                const std::string &name, T value) {
+void DeclarationsReader::insertUnique(SchemaReader &map, const char *key,
+                                      Map &into, const std::string &name,
+                                      T value) {
   if (!name.empty() && !into.emplace(name, std::move(value)).second)
     map.fault(key, "each name once; '" + name + "' is a duplicate");
 }
@@ -93,14 +98,14 @@
   ServiceConfig it;
   std::size_t kind = 0;
   map.name("name", it.Name, Presence::Required);
-  map.choice("kind", kind, KindWords);
+  map.choice("kind", kind, ServiceKindNames);
   map.number("cells", it.Cells, CellRange);
   map.name("base_model", it.BaseModel, Presence::Optional);
   map.number("objective_percent", it.ObjectivePercent, {0, 100});
   it.Kind = kind == 0 ? ServiceKind::Engine : ServiceKind::Plain;
   if (it.Kind == ServiceKind::Plain && !it.BaseModel.empty())
     map.fault("base_model", "no base model for a plain service");
-  insert(map, "name", Out.Services, it.Name, it);
+  insertUnique(map, "name", Out.Services, it.Name, it);
 }
 
 void DeclarationsReader::readReplica(SchemaReader &map) {
@@ -113,8 +118,8 @@
   map.number("slots", it.Slots, SlotRange);
   map.number("batch", it.Batch, SlotRange);
   map.flag("checks_fencing", it.ChecksFencing);
-  refer(map, "service", ReferenceKind::Service, it.Service);
-  insert(map, "name", Out.Replicas, it.Name, it);
+  addReference(map, "service", ReferenceKind::Service, it.Service);
+  insertUnique(map, "name", Out.Replicas, it.Name, it);
 }
 
 void DeclarationsReader::readAdapter(SchemaReader &map) {
@@ -129,8 +134,8 @@
                                         it.Current) == it.Versions.end())
     map.fault("current",
               "one of the versions, not " + std::to_string(it.Current));
-  refer(map, "service", ReferenceKind::EngineService, it.Service);
-  insert(map, "name", Out.Adapters, it.Name, it);
+  addReference(map, "service", ReferenceKind::EngineService, it.Service);
+  insertUnique(map, "name", Out.Adapters, it.Name, it);
 }
 
 void DeclarationsReader::readClass(SchemaReader &map) {
@@ -139,7 +144,7 @@
   map.number("priority", it.Priority, PriorityRange);
   map.milliseconds("deadline_ms", it.Deadline, DeadlineRange);
   map.number("queue_limit", it.QueueLimit, QueueRange);
-  insert(map, "name", Out.Classes, it.Name, it);
+  insertUnique(map, "name", Out.Classes, it.Name, it);
 }
 
 void DeclarationsReader::readPin(SchemaReader &map) {
@@ -149,12 +154,13 @@
            "an adapter and version, such as oath-fr@7", isAdapterVersion);
   map.name("failure_domain", it.FailureDomain, Presence::Optional);
   map.number("copies", it.Copies, CopiesRange);
-  refer(map, "adapter", ReferenceKind::AdapterVersion, adapter);
-  refer(map, "failure_domain", ReferenceKind::FailureDomain, it.FailureDomain);
+  addReference(map, "adapter", ReferenceKind::AdapterVersion, adapter);
+  addReference(map, "failure_domain", ReferenceKind::FailureDomain,
+               it.FailureDomain);
   if (adapter.empty())
     return;
   it.Adapter = *AdapterRef::parse(adapter);
-  insert(map, "adapter", Out.Pins, pinName(it), it);
+  insertUnique(map, "adapter", Out.Pins, pinName(it), it);
 }
 
 void DeclarationsReader::readRule(SchemaReader &map) {
@@ -163,9 +169,9 @@
            "an adapter's name, or a prefix followed by '*'", isPattern);
   map.names("failure_domains", it.FailureDomains, Presence::Required);
   if (!it.Adapter.ends_with('*'))
-    refer(map, "adapter", ReferenceKind::Adapter, it.Adapter);
+    addReference(map, "adapter", ReferenceKind::Adapter, it.Adapter);
   for (const auto &domain : it.FailureDomains)
-    refer(map, "failure_domains", ReferenceKind::FailureDomain, domain);
+    addReference(map, "failure_domains", ReferenceKind::FailureDomain, domain);
   bool repeated =
       std::any_of(Out.Rules.begin(), Out.Rules.end(),
                   [&](const auto &rule) { return rule.Adapter == it.Adapter; });
@@ -179,7 +185,7 @@
   std::vector<std::string> names;
   root.names("drained", names, Presence::Optional);
   for (const auto &name : names) {
-    refer(root, "drained", ReferenceKind::Replica, name);
+    addReference(root, "drained", ReferenceKind::Replica, name);
     Out.Drained.emplace(name, true);
   }
 }
--- a/Hemlockglade/Protocol/Settings/GatewaySettings.cpp
+++ b/Hemlockglade/Protocol/Settings/GatewaySettings.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr std::string_view AddressWords = "a numeric ip:port";
+constexpr std::string_view ExpectedAddress = "a numeric ip:port";
 constexpr std::uint64_t MinuteMs = 60'000;
 constexpr double MinuteSeconds = 60;
 constexpr double MinCores = 0.001;
 constexpr double MaxCores = 1024;
 constexpr double MinMbps = 0.001;
 constexpr double MaxMbps = 1e6;
-constexpr double MostRepeats = 1e6;
-constexpr double MostUnits = 1e12;
+constexpr double MaxFixedRetries = 1e6;
+constexpr double MaxQuotaUnits = 1e12;
 
 bool isEndpointOrEmpty(std::string_view text) {
   return text.empty() || isEndpointAddress(text);
@@ -29,17 +29,17 @@
            isIpv4Address);
   map.number("peer_port", out.PeerPort, {0, 65535});
   map.text("caller_address", out.CallerAddress, Presence::Required,
-           AddressWords, isEndpointAddress);
+           ExpectedAddress, isEndpointAddress);
   map.text("readiness_address", out.ReadinessAddress, Presence::Optional,
-           AddressWords, isEndpointOrEmpty);
+           ExpectedAddress, isEndpointOrEmpty);
   map.text("directory_address", out.DirectoryAddress, Presence::Optional,
-           AddressWords, isEndpointOrEmpty);
+           ExpectedAddress, isEndpointOrEmpty);
   map.text("metrics_address", out.MetricsAddress, Presence::Optional,
-           AddressWords, isEndpointOrEmpty);
+           ExpectedAddress, isEndpointOrEmpty);
   map.text("registry_address", out.RegistryAddress, Presence::Required,
-           AddressWords, isEndpointAddress);
+           ExpectedAddress, isEndpointAddress);
   map.names("failure_domains", out.FailureDomains, Presence::Required);
-  map.texts("seeds", out.Seeds, AddressWords, isEndpointAddress);
+  map.texts("seeds", out.Seeds, ExpectedAddress, isEndpointAddress);
   map.number("max_descriptors", out.MaxDescriptors, {64, 1'000'000});
   map.real("cores", out.Cores, MinCores, MaxCores);
   map.real("link_mbps", out.LinkMbps, MinMbps, MaxMbps);
@@ -47,18 +47,18 @@
   map.milliseconds("handover_ms", out.Handover, {0, MinuteMs});
   map.seconds("max_directory_ttl_s", out.MaxDirectoryTtl, 0.1, MinuteSeconds);
   map.real("repeat_share", out.RepeatShare, 0, 1);
-  map.real("repeat_extra", out.RepeatExtra, 0, MostRepeats);
+  map.real("repeat_extra", out.RepeatExtra, 0, MaxFixedRetries);
   map.seconds("repeat_window_s", out.RepeatWindow, 0.1, 10 * MinuteSeconds);
   map.milliseconds("drain_bound_ms", out.DrainBound, {1, MinuteMs});
   map.milliseconds("plan_bound_ms", out.PlanBound, {1, MinuteMs});
   map.milliseconds("version_bound_ms", out.VersionBound, {1, MinuteMs});
   map.seconds("quota_window_s", out.Quota.Window, 0.1, 10 * MinuteSeconds);
   map.real("quota_overshoot", out.Quota.Overshoot, 0, 1);
-  map.real("quota_slack", out.Quota.Slack, 0, MostUnits);
+  map.real("quota_slack", out.Quota.Slack, 0, MaxQuotaUnits);
   map.flag("revoke_fail_closed", out.RevokeFailClosed);
   map.milliseconds("revoke_bound_ms", out.RevokeBound, {1, MinuteMs});
-  map.section("decisions", [&out](SchemaReader &part) {
-    bindDecisions(part, out.Decisions);
+  map.section("decisions", [&out](SchemaReader &section) {
+    bindDecisions(section, out.Decisions);
   });
 }
 
--- a/Hemlockglade/Protocol/Settings/GatewaySettings.h
+++ b/Hemlockglade/Protocol/Settings/GatewaySettings.h
@@ -10,8 +10,8 @@
 
 namespace hemlockglade {
 
-/// Settings of a node that serves from a registry: routes, replicas and
-/// operators' declarations come from there, not from declarations of its own.
+/// Settings of a gateway: a node that gets its routes, replicas and operators'
+/// declarations from a registry instead of from a declarations file.
 struct GatewaySettings {
   /// Unique name of the node.
   std::string Name;
@@ -22,56 +22,62 @@
   std::uint16_t PeerPort = 0;
   /// `ip:port` where callers are served.
   std::string CallerAddress;
-  /// `ip:port` where readiness is asked for.
+  /// `ip:port` where readiness is served.
   std::string ReadinessAddress;
-  /// `ip:port` where callers ask which address to use.
+  /// `ip:port` of the directory, where callers query which address to use.
   std::string DirectoryAddress;
-  /// `ip:port` where metrics are served; empty for none.
+  /// `ip:port` where metrics are served; empty to serve none.
   std::string MetricsAddress;
   /// `ip:port` of the registry and table.
   std::string RegistryAddress;
-  /// Failure domains of the deployment; each is a cell.
+  /// Failure domains of the deployment; there is one cell per failure domain.
   std::vector<std::string> FailureDomains;
-  /// Numeric addresses of hosts to ask at a start without the registry.
+  /// Numeric addresses of hosts that are queried at startup if the registry
+  /// does not answer.
   std::vector<std::string> Seeds;
 
   std::uint32_t MaxDescriptors = 1024;
-  /// What the host gives this process: cores, and Mbit/s of its link. A weak
-  /// host leaves cells to stronger ones.
+  /// Capacity of the host that this process may use: cores, and Mbit/s of its
+  /// link. Nodes on hosts with little capacity leave the ownership of cells to
+  /// nodes with more.
   double Cores = 1;
   double LinkMbps = 1000;
-  /// Longest time that a stop may take.
+  /// Maximum duration of a graceful stop.
   Span StopBound = std::chrono::seconds(8);
-  /// Time that must lie between the orders of two holders.
+  /// Minimum time between the orders of two successive owners of a cell.
   Span Handover = std::chrono::seconds(3);
-  /// Longest time that callers may keep a directory answer.
+  /// Maximum time for which callers may cache an answer of the directory.
   Span MaxDirectoryTtl = std::chrono::seconds(5);
-  /// Repeats over all nodes: share of the requests, number, and window.
+  /// Retry budget over all nodes: retries per request, a fixed number of
+  /// further retries, and the window to which both apply.
   double RepeatShare = 0.2;
   double RepeatExtra = 20;
   Span RepeatWindow = std::chrono::seconds(10);
-  /// Time within which a leaving replica must get no new work.
+  /// Maximum time until a draining replica gets no new work.
   Span DrainBound = std::chrono::seconds(2);
-  /// Time within which a confirmed plan must be in force.
+  /// Maximum time until a confirmed plan is in force.
   Span PlanBound = std::chrono::seconds(2);
-  /// Time within which requests must begin on weights that were named newer.
+  /// Maximum time until requests are sent with a newly declared version of
+  /// the weights.
   Span VersionBound = std::chrono::seconds(5);
-  /// How far workspaces may go beyond their limits, over all nodes.
+  /// How far workspaces may exceed their limits, over all nodes.
   QuotaSettings Quota;
-  /// Whether callers with keys are turned away once the node has not known for
-  /// so long whether a key has been revoked.
+  /// Whether callers with keys are rejected once the node has been unable for
+  /// longer than `RevokeBound` to confirm that no key has been revoked.
   bool RevokeFailClosed = false;
   Span RevokeBound = std::chrono::seconds(5);
-  /// How requests are routed and weights are placed.
+  /// Parameters of routing and of the placement of weights.
   DecisionSettings Decisions;
 
-  /// How the registry is looked at to keep the bounds.
-  RegistryPollSettings lookPace() const {
+  /// Returns the poll intervals and timeouts that keep `PlanBound` and
+  /// `DrainBound`.
+  RegistryPollSettings pollSettings() const {
     return RegistryPollSettings::forBounds(PlanBound, DrainBound);
   }
 };
 
-/// Reads a settings file's text; `file` is the name that faults give.
+/// Parses the text of a settings file; `file` is the file name given in faults.
+/// If anything is invalid, all faults are returned.
 tl::expected<GatewaySettings, SettingsFaults>
 readGatewaySettings(const std::string &text, const std::string &file);
 
--- a/Hemlockglade/Protocol/Settings/NodeSettings.cpp
+++ b/Hemlockglade/Protocol/Settings/NodeSettings.cpp
@@ -36,8 +36,8 @@
   map.milliseconds("stop_bound_ms", out.StopBound, {0, HourMs});
 }
 
-/// Checks what no single key can tell.
-void checkSpans(SchemaReader &map, const NodeSettings &settings) {
+/// Checks constraints between several keys.
+void checkDurations(SchemaReader &map, const NodeSettings &settings) {
   if (settings.RenewInterval >= settings.LeaseDuration)
     map.fault("renew_ms", "less than lease_ms, or each lease lapses");
   if (settings.LeaseMargin >= settings.LeaseDuration)
@@ -57,7 +57,7 @@
   bindKeys(map, settings);
   map.finish();
   if (faults.empty())
-    checkSpans(map, settings);
+    checkDurations(map, settings);
   if (!faults.empty())
     return tl::unexpected(faults.take());
   return settings;
--- a/Hemlockglade/Protocol/Settings/NodeSettings.h
+++ b/Hemlockglade/Protocol/Settings/NodeSettings.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade {
 
-/// What one node reads from its settings file.
+/// Settings of one node, read from its settings file.
 struct NodeSettings {
   /// Unique name of the node.
   std::string Name;
@@ -23,37 +23,38 @@
   std::uint16_t PeerPort = 0;
   /// Base URL of the platform.
   std::string PlatformUrl;
-  /// Peer addresses, `ip:port`, of nodes to ask at the start when the table
-  /// does not answer.
+  /// Peer addresses, `ip:port`, of nodes that are queried at startup if the
+  /// table does not answer.
   std::vector<std::string> Seeds;
-  /// Threads that serve.
+  /// Number of serving threads.
   std::uint32_t Threads = 2;
-  /// How long a lease lasts after its renewal was sent.
+  /// Duration of a lease, counted from when its renewal was sent.
   Span LeaseDuration = std::chrono::seconds(10);
-  /// Time between renewals.
+  /// Interval between renewals of a lease.
   Span RenewInterval = std::chrono::seconds(3);
-  /// Time between two looks at all lease rows.
+  /// Interval between scans of all lease rows.
   Span ScanInterval = std::chrono::seconds(1);
-  /// Allowance for clocks that drift.
+  /// Safety margin of leases for clock drift.
   Span LeaseMargin = std::chrono::seconds(1);
-  /// Time between two looks at the configuration's head.
+  /// Interval between reads of the configuration's head row.
   Span ConfigInterval = std::chrono::seconds(1);
-  /// Adapter loads a second that the weight store gives the deployment.
+  /// Adapter loads per second that the weight store can sustain for the whole
+  /// deployment.
   std::uint32_t LoadsPerSecond = 3;
-  /// Time between two load reports of a replica.
+  /// Interval between load reports of a replica.
   Span ReportInterval = std::chrono::milliseconds(500);
-  /// How long callers may keep an address.
+  /// Time for which callers may cache an address.
   Span DirectoryTtl = std::chrono::seconds(5);
-  /// Longest time that a stop waits for running requests.
+  /// Maximum time that a graceful stop waits for running requests.
   Span StopBound = std::chrono::seconds(60);
 };
 
-/// Reads a settings file's text; `file` is the name that faults give. Either
-/// the whole file is right, or all its faults are reported.
+/// Parses the text of a settings file; `file` is the file name given in faults.
+/// If anything is invalid, all faults are returned.
 tl::expected<NodeSettings, SettingsFaults>
 readNodeSettings(const std::string &text, const std::string &file);
 
-/// Every key that a settings file may have.
+/// Returns every key that a settings file may have.
 std::vector<std::string> nodeSettingsKeys();
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Settings/ReferenceCheck.cpp
+++ b/Hemlockglade/Protocol/Settings/ReferenceCheck.cpp
@@ -45,7 +45,7 @@
   return false;
 }
 
-std::string_view kindWords(ReferenceKind kind) {
+std::string_view expectedText(ReferenceKind kind) {
   switch (kind) {
   case ReferenceKind::Service:
     return "a declared service";
@@ -73,7 +73,7 @@
     if (exists(catalog, domains, it))
       continue;
     faults.add(it.Mark, it.Key,
-               std::string(kindWords(it.Kind)) + "; nothing is called '" +
+               std::string(expectedText(it.Kind)) + "; nothing is called '" +
                    it.Value + "'");
   }
 }
--- a/Hemlockglade/Protocol/Settings/SchemaReader.cpp
+++ b/Hemlockglade/Protocol/Settings/SchemaReader.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr const char *NameWords =
+constexpr const char *ExpectedName =
     "a name of letters, digits, '.', '_' and '-', at most 64 bytes";
 /// The tag that yaml-cpp gives a quoted scalar.
 constexpr const char *QuotedTag = "!";
 
-/// What a node holds, for the end of a fault's text.
-std::string found(const YAML::Node &node) {
+/// Describes the value found, for the end of a fault's text.
+std::string foundText(const YAML::Node &node) {
   switch (node.Type()) {
   case YAML::NodeType::Scalar:
     return ", not '" + node.Scalar() + "'";
@@ -29,7 +29,8 @@
   }
 }
 
-template <typename T> bool readWhole(std::string_view text, T &out) {
+/// Parses a text that consists of one number and nothing else.
+template <typename T> bool parseNumber(std::string_view text, T &out) {
   auto end = text.data() + text.size();
   auto [at, ec] = std::from_chars(text.data(), end, out);
   return ec == std::errc() && at == end && !text.empty();
@@ -38,7 +39,8 @@
 bool readScalarNumber(const YAML::Node &node, NumberRange range,
                       std::uint64_t &out) {
   return node.IsScalar() && node.Tag() != QuotedTag &&
-         readWhole(node.Scalar(), out) && out >= range.Min && out <= range.Max;
+         parseNumber(node.Scalar(), out) && out >= range.Min &&
+         out <= range.Max;
 }
 
 std::string rangeText(NumberRange range, std::string_view unit) {
@@ -68,7 +70,7 @@
     auto root = YAML::Load(text);
     if (root.IsMap())
       return root;
-    faults.add(root.Mark(), "", "a mapping of keys" + found(root));
+    faults.add(root.Mark(), "", "a mapping of keys" + foundText(root));
   } catch (const YAML::Exception &error) {
     faults.add(error.mark, "", "well-formed YAML: " + error.msg);
   }
@@ -81,7 +83,7 @@
   if (Map.IsMap())
     return;
   auto key = Path.substr(0, Path.empty() ? 0 : Path.size() - 1);
-  Faults.add(Map.Mark(), key, "a mapping of keys" + found(Map));
+  Faults.add(Map.Mark(), key, "a mapping of keys" + foundText(Map));
 }
 
 YAML::Node SchemaReader::find(const char *key, Presence presence) {
@@ -105,12 +107,13 @@
   if (node.IsScalar() && accept(node.Scalar()))
     member = node.Scalar();
   else
-    Faults.add(node.Mark(), pathOf(key), std::string(expected) + found(node));
+    Faults.add(node.Mark(), pathOf(key),
+               std::string(expected) + foundText(node));
 }
 
 void SchemaReader::name(const char *key, std::string &member,
                         Presence presence) {
-  text(key, member, presence, NameWords, isName);
+  text(key, member, presence, ExpectedName, isName);
 }
 
 bool SchemaReader::readNumber(const char *key, NumberRange range,
@@ -120,7 +123,7 @@
     return false;
   if (readScalarNumber(node, range, out))
     return true;
-  Faults.add(node.Mark(), pathOf(key), rangeText(range, "") + found(node));
+  Faults.add(node.Mark(), pathOf(key), rangeText(range, "") + foundText(node));
   return false;
 }
 
@@ -137,13 +140,13 @@
   if (!node.IsDefined())
     return;
   double out = 0;
-  bool good = node.IsScalar() && node.Tag() != QuotedTag &&
-              readWhole(node.Scalar(), out) && out >= min && out <= max;
-  if (good)
+  bool isValid = node.IsScalar() && node.Tag() != QuotedTag &&
+                 parseNumber(node.Scalar(), out) && out >= min && out <= max;
+  if (isValid)
     member = out;
   else
     fault(key, "a number from " + std::to_string(min) + " to " +
-                   std::to_string(max) + found(node));
+                   std::to_string(max) + foundText(node));
 }
 
 void SchemaReader::seconds(const char *key, Span &member, double min,
@@ -154,9 +157,9 @@
 }
 
 void SchemaReader::flag(const char *key, bool &member) {
-  constexpr std::string_view Words[] = {"false", "true"};
+  constexpr std::string_view FlagNames[] = {"false", "true"};
   std::size_t index = member ? 1 : 0;
-  choice(key, index, Words);
+  choice(key, index, FlagNames);
   member = index == 1;
 }
 
@@ -175,7 +178,7 @@
   std::string expected;
   for (auto word : words)
     expected += (expected.empty() ? "" : " or ") + std::string(word);
-  Faults.add(node.Mark(), pathOf(key), expected + found(node));
+  Faults.add(node.Mark(), pathOf(key), expected + foundText(node));
 }
 
 void SchemaReader::list(
@@ -185,7 +188,7 @@
   if (!node.IsDefined())
     return;
   if (!node.IsSequence()) {
-    Faults.add(node.Mark(), pathOf(key), "a list" + found(node));
+    Faults.add(node.Mark(), pathOf(key), "a list" + foundText(node));
     return;
   }
   std::size_t n = 0;
@@ -200,16 +203,16 @@
   auto node = find(key, Presence::Optional);
   if (!node.IsDefined())
     return;
-  SchemaReader part(node, pathOf(key) + '.', Faults);
-  bind(part);
-  part.finish();
+  SchemaReader reader(node, pathOf(key) + '.', Faults);
+  bind(reader);
+  reader.finish();
 }
 
 void SchemaReader::names(const char *key, std::vector<std::string> &member,
                          Presence presence) {
   list(key, presence, [&](const YAML::Node &node, std::string path) {
     if (!node.IsScalar() || !isName(node.Scalar()))
-      Faults.add(node.Mark(), std::move(path), NameWords + found(node));
+      Faults.add(node.Mark(), std::move(path), ExpectedName + foundText(node));
     else if (std::find(member.begin(), member.end(), node.Scalar()) !=
              member.end())
       Faults.add(node.Mark(), std::move(path),
@@ -227,7 +230,7 @@
       member.push_back(node.Scalar());
     else
       Faults.add(node.Mark(), std::move(path),
-                 std::string(expected) + found(node));
+                 std::string(expected) + foundText(node));
   });
 }
 
@@ -238,7 +241,7 @@
     auto value = [&] { return static_cast<std::uint32_t>(out); };
     if (!readScalarNumber(node, range, out))
       Faults.add(node.Mark(), std::move(path),
-                 rangeText(range, "") + found(node));
+                 rangeText(range, "") + foundText(node));
     else if (std::find(member.begin(), member.end(), value()) != member.end())
       Faults.add(node.Mark(), std::move(path),
                  "each number once; " + std::to_string(out) +
--- a/Hemlockglade/Protocol/Settings/TextChecks.cpp
+++ b/Hemlockglade/Protocol/Settings/TextChecks.cpp
@@ -29,12 +29,12 @@
 } // namespace
 
 bool isName(std::string_view text) {
-  auto isPart = [](unsigned char c) {
+  auto isNameChar = [](unsigned char c) {
     return std::isalnum(c) || c == '.' || c == '_' || c == '-';
   };
   return !text.empty() && text.size() <= MaxNameBytes &&
          std::isalnum(static_cast<unsigned char>(text.front())) &&
-         std::all_of(text.begin(), text.end(), isPart);
+         std::all_of(text.begin(), text.end(), isNameChar);
 }
 
 bool isIpv4Address(std::string_view text) { return isAddressOf(AF_INET, text); }
--- a/Programs/hemlockgladed/Gateway/Gateway.cpp
+++ b/Programs/hemlockgladed/Gateway/Gateway.cpp
@@ -165,7 +165,7 @@
       cell->onRegistryUpdate();
   };
   RegistryWatcher::Settings pollOptions;
-  pollOptions.Poll = Settings.lookPace();
+  pollOptions.Poll = Settings.pollSettings();
   Watcher = std::make_unique<RegistryWatcher>(
       Timers, Port.Registry, pollOptions, std::move(hooks), Log);
   bool first = isStrongHost() || isSeed() || Settings.Seeds.empty();
@@ -201,7 +201,7 @@
     options.Lease.Address =
         Settings.Address + ":" + std::to_string(Peers->port());
     options.Lease.Handover = Settings.Handover;
-    options.Placement = Settings.Decisions.Desk;
+    options.Placement = Settings.Decisions.Placement;
     options.Placement.CellCount =
         static_cast<std::uint32_t>(Settings.FailureDomains.size());
     options.Placement.CellIndex = cellIndex++;
--- a/Programs/hemlockgladed/Gateway/GatewayAccess.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayAccess.cpp
@@ -106,7 +106,8 @@
   // Routes change rarely, and scanners request routes that never existed from
   // every node: the age that all nodes keep to is enough.
   bool noRoute = denied == CallerAccess::Denial::NoRoute;
-  return noRoute ? Settings.lookPace().MaxOperatorAge : Span(MaxKeyDenialAge);
+  return noRoute ? Settings.pollSettings().MaxOperatorAge
+                 : Span(MaxKeyDenialAge);
 }
 
 void Gateway::confirmDenial(CallerRequest request, CallerAccess::Denial denied,
--- a/UnitTests/Protocol/Settings/DeclarationsTest.cpp
+++ b/UnitTests/Protocol/Settings/DeclarationsTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::string Good =
+const std::string ValidDeclarations =
     "services:\n"
     "  - {name: assistant, kind: engine}\n"
     "  - {name: booking, kind: plain}\n"
@@ -31,16 +31,16 @@
   return *rc::gen::inRange(min, max + 1);
 }
 
-const std::vector<std::string> Words = {"a",   "oath-fr", "7",    "null",
-                                        "yes", "0x1f",    "1e3",  "a.b",
-                                        "~x",  "true",    "x_-y", "007"};
+const std::vector<std::string> NameCandidates = {
+    "a",   "oath-fr", "7",  "null", "yes",  "0x1f",
+    "1e3", "a.b",     "~x", "true", "x_-y", "007"};
 
 std::string name() {
-  auto word = pick(Words);
+  auto word = pick(NameCandidates);
   return isName(word) ? word : "n" + word.substr(1);
 }
 
-/// A catalog whose references all hold.
+/// Generates a catalog whose references are all valid.
 Catalog anyCatalog() {
   Catalog out;
   for (auto n = number(1, 3); n > 0; --n) {
@@ -69,7 +69,8 @@
     if (*rc::gen::arbitrary<bool>())
       out.Drained[key] = true;
   }
-  // A later replica of the same name may have replaced a domain's only one.
+  // A replica generated later under the same name may have replaced the only
+  // replica of a failure domain.
   domains.clear();
   for (const auto &[key, it] : out.Replicas)
     domains.push_back(it.FailureDomain);
@@ -102,30 +103,33 @@
 
 } // namespace
 
-TEST_CASE("declarations survive writing and reading", "[declarations]") {
-  auto holds = rc::check("read(write(x)) == x", [] {
+TEST_CASE("declarations that are written and read back are unchanged",
+          "[declarations]") {
+  auto passed = rc::check("read(write(x)) == x", [] {
     auto catalog = anyCatalog();
     auto text = writeDeclarations(catalog);
-    auto back = checkDeclarations(text, "x");
-    if (!back)
-      RC_FAIL(faultText(back.error()) + text);
-    RC_ASSERT(*back == catalog);
-    RC_ASSERT(writeDeclarations(*back) == text);
-    RC_ASSERT(diffCatalogs(catalog, *back).empty());
+    auto parsed = checkDeclarations(text, "x");
+    if (!parsed)
+      RC_FAIL(faultText(parsed.error()) + text);
+    RC_ASSERT(*parsed == catalog);
+    RC_ASSERT(writeDeclarations(*parsed) == text);
+    RC_ASSERT(diffCatalogs(catalog, *parsed).empty());
   });
-  REQUIRE(holds);
+  REQUIRE(passed);
 }
 
-TEST_CASE("a difference is empty just for equal catalogs", "[declarations]") {
-  auto holds = rc::check("diff(x, y) is empty if and only if x == y", [] {
+TEST_CASE("the difference of two catalogs is empty only if they are equal",
+          "[declarations]") {
+  auto passed = rc::check("diff(x, y) is empty if and only if x == y", [] {
     auto before = anyCatalog();
     auto after = anyCatalog();
     RC_ASSERT(diffCatalogs(before, after).empty() == (before == after));
   });
-  REQUIRE(holds);
+  REQUIRE(passed);
 }
 
-TEST_CASE("each fault of the declarations is told", "[declarations]") {
+TEST_CASE("each fault in the lists of the declarations is reported",
+          "[declarations]") {
   struct Case {
     const char *Lines;
     const char *Fault;
@@ -165,10 +169,11 @@
        {"drained: [a-2]", "d.yaml:8: drained: expected a declared replica"},
        {"drained: [a-1, a-1]", "drained[1]: expected each name once"}}));
   INFO(it.Lines);
-  CHECK_THAT(faultsOf(Good + it.Lines + "\n"), Catch::Contains(it.Fault));
+  CHECK_THAT(faultsOf(ValidDeclarations + it.Lines + "\n"),
+             Catch::Contains(it.Fault));
 }
 
-TEST_CASE("each fault inside a declaration is told", "[declarations]") {
+TEST_CASE("each fault inside a declaration is reported", "[declarations]") {
   struct Case {
     const char *From;
     const char *To;
@@ -199,7 +204,7 @@
        {"[6, 7]", "[0]", "adapters[0].versions[0]: expected a whole number"},
        {"oath-fr", "oath fr",
         "adapters[0].name: expected a name of letters"}}));
-  auto text = Good;
+  auto text = ValidDeclarations;
   text.replace(text.find(it.From), std::string(it.From).size(), it.To);
   INFO(text);
   CHECK_THAT(faultsOf(text), Catch::Contains(it.Fault));
@@ -214,8 +219,9 @@
   CHECK(catalog->Adapters.size() >= 5);
 }
 
-TEST_CASE("a difference is given in readable lines", "[declarations]") {
-  auto before = *checkDeclarations(Good, "x");
+TEST_CASE("the difference of two catalogs is printed as readable lines",
+          "[declarations]") {
+  auto before = *checkDeclarations(ValidDeclarations, "x");
   auto after = before;
   after.Services.erase("booking");
   after.Replicas["a-1"].Slots = 16;
@@ -228,9 +234,9 @@
   CHECK(diffCatalogs(before, after) == lines);
 }
 
-TEST_CASE("damaged declarations give faults and nothing worse",
+TEST_CASE("corrupted declarations give faults with valid line numbers",
           "[declarations]") {
-  auto holds = rc::check("each fault has its line in the file", [] {
+  auto passed = rc::check("each fault has its line in the file", [] {
     auto text = writeDeclarations(anyCatalog());
     for (auto n = number(1, 4); n > 0; --n)
       text[number(0, text.size() - 1)] = *rc::gen::arbitrary<char>();
@@ -242,7 +248,7 @@
     for (const auto &it : catalog.error())
       RC_ASSERT(it.Line >= 1 && it.Line <= lines);
   });
-  REQUIRE(holds);
+  REQUIRE(passed);
   CHECK_FALSE(checkDeclarations(std::string(100'000, '['), "x"));
   CHECK_FALSE(checkDeclarations("? a\n: b\n? [c]\n: d\n", "x"));
 }
--- a/UnitTests/Protocol/Settings/NodeSettingsTest.cpp
+++ b/UnitTests/Protocol/Settings/NodeSettingsTest.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-const std::string Good = "name: entry-1\n"
-                         "failure_domain: hall-a\n"
-                         "region: tunis-north\n"
-                         "platform_url: http://127.0.0.1:80\n";
+const std::string RequiredKeys = "name: entry-1\n"
+                                 "failure_domain: hall-a\n"
+                                 "region: tunis-north\n"
+                                 "platform_url: http://127.0.0.1:80\n";
 
 std::string faultsOf(const std::string &text) {
   auto settings = readNodeSettings(text, "n.yaml");
@@ -20,8 +20,9 @@
 
 } // namespace
 
-TEST_CASE("settings that are right are read", "[settings]") {
-  auto settings = readNodeSettings(Good + "lease_ms: 4000\nthreads: 3\n", "");
+TEST_CASE("valid settings of a node are read", "[settings]") {
+  auto settings =
+      readNodeSettings(RequiredKeys + "lease_ms: 4000\nthreads: 3\n", "");
   REQUIRE(settings);
   CHECK(settings->Name == "entry-1");
   CHECK(settings->LeaseDuration == std::chrono::seconds(4));
@@ -57,7 +58,7 @@
        {"lease_margin_ms: 10000", "n.yaml:5: lease_margin_ms: expected less "},
        {"lease_ms: [", "n.yaml:6: expected well-formed YAML"}}));
   INFO(it.Line);
-  CHECK_THAT(faultsOf(Good + it.Line + "\n"),
+  CHECK_THAT(faultsOf(RequiredKeys + it.Line + "\n"),
              Catch::StartsWith("n.yaml:") && Catch::Contains(it.Fault));
 }
 
@@ -79,7 +80,7 @@
   for (const auto &key : nodeSettingsKeys()) {
     INFO(key);
     CHECK(root[key].IsDefined());
-    // A comment stands right before each key.
+    // Each key must have a comment on the line before it.
     auto at = text.find('\n' + key + ':');
     REQUIRE(at != std::string::npos);
     auto line = text.rfind('\n', at - 1) + 1;
