--- a/Hemlockglade/Protocol/Account/LogAccount.cpp
+++ b/Hemlockglade/Protocol/Account/LogAccount.cpp
@@ -10,7 +10,8 @@
 
 constexpr double Unavailable = 503;
 
-/// A share of sorted values lies below the result; 0 of none.
+/// Returns the quantile of sorted values below which `share` of them are; 0 if
+/// there are no values.
 double quantile(const std::vector<double> &sorted, double share) {
   if (sorted.empty())
     return 0;
@@ -36,21 +37,22 @@
   else if (line.Event == "order")
     addOrder(line);
   else if (line.Event == "repeat")
-    ++Tries[line.text("why")];
+    ++Attempts[line.text("why")];
   else if (line.Event == "not-run")
-    ++Tries["not run, " + std::to_string(std::lround(line.number("status")))];
+    ++Attempts["not run, " +
+               std::to_string(std::lround(line.number("status")))];
   else if (line.Event == "not-connected")
-    ++Tries["not connected"];
+    ++Attempts["not connected"];
   else if (line.Event == "not-booked")
-    ++Limited[line.text("workspace")];
+    ++QuotaRefusals[line.text("workspace")];
   else if (line.Event == "ended-under")
-    ++Ends[line.text("key")];
+    ++ReplicaEnds[line.text("key")];
   else if (line.Event == "request-barred")
-    Barred.insert(line.text("key"));
+    BarredKeys.insert(line.text("key"));
 }
 
 void LogAccount::addSend(const LogLine &line) {
-  if (Requests.size() >= Setup.MostOpen)
+  if (Requests.size() >= Options.MaxOpenRequests)
     return;
   auto &request = Requests[line.text("request")];
   if (++request.Sent > 1)
@@ -66,17 +68,17 @@
   constexpr double MsPerSecond = 1000;
   auto result = line.text("result");
   auto at = Requests.find(line.text("request"));
-  Open request = at == Requests.end() ? Open{} : at->second;
+  OpenRequest request = at == Requests.end() ? OpenRequest{} : at->second;
   if (at != Requests.end())
     Requests.erase(at);
   bool refused = line.number("status") == Unavailable;
   if (request.Sent)
-    ++Tries[result];
+    ++Attempts[result];
   if (refused)
     ++Refusals[result + ", after waiting for: " + line.text("wait")];
-  auto began = line.AtSeconds - line.number("took_ms") / MsPerSecond;
+  auto arrivedAt = line.AtSeconds - line.number("took_ms") / MsPerSecond;
   auto window =
-      static_cast<std::int64_t>(std::floor(began / Setup.WindowSeconds));
+      static_cast<std::int64_t>(std::floor(arrivedAt / Options.WindowSeconds));
   auto &counts =
       Windows[{request.Route.empty() ? "never sent" : request.Route, window}];
   ++counts.Requests;
@@ -84,7 +86,7 @@
   counts.Complete += complete ? 1 : 0;
   counts.Refused += refused ? 1 : 0;
   counts.Failed += complete || refused ? 0 : 1;
-  counts.HeldLong += complete && request.WaitedMs > Setup.LongHoldMs ? 1 : 0;
+  counts.HeldLong += complete && request.WaitedMs > Options.LongHoldMs ? 1 : 0;
 }
 
 void LogAccount::addOrder(const LogLine &line) {
@@ -93,16 +95,16 @@
   if (line.text("kind") != "load" || !done)
     return;
   auto version = static_cast<std::uint64_t>(line.number("version"));
-  auto &places = Loaded[{line.text("weights"), version}];
+  auto &replicas = Loaded[{line.text("weights"), version}];
   auto &counts = Loads[line.text("reason")];
   ++counts.All;
-  if (places.empty())
+  if (replicas.empty())
     ++counts.First;
-  else if (places.contains(line.text("replica")))
+  else if (replicas.contains(line.text("replica")))
     ++counts.SameReplica;
   else
     ++counts.OtherReplica;
-  places.insert(line.text("replica"));
+  replicas.insert(line.text("replica"));
 }
 
 void LogAccount::print(std::ostream &out) const {
@@ -110,20 +112,21 @@
   printLoads(out);
   printWaits(out);
   printCounts(out, "refusals", Refusals);
-  printCounts(out, "tries at replicas, by how they ended", Tries);
-  printCounts(out, "refused by a limit, by workspace", Limited);
+  printCounts(out, "tries at replicas, by how they ended", Attempts);
+  printCounts(out, "refused by a limit, by workspace", QuotaRefusals);
   printEnds(out);
   printWindows(out);
 }
 
 void LogAccount::printEnds(std::ostream &out) const {
-  // Once may be chance: all that ran on a replica ended with it.
-  constexpr std::uint64_t Least = 2;
+  // When a replica ends, all requests running on it are counted, so that a
+  // single end says nothing about the request.
+  constexpr std::uint64_t MinEnds = 2;
   out << "\nrequests under which replicas ended, by key\n";
-  for (const auto &[key, n] : Ends)
-    if (n >= Least || Barred.contains(key))
+  for (const auto &[key, n] : ReplicaEnds)
+    if (n >= MinEnds || BarredKeys.contains(key))
       out << std::setw(9) << n << "  " << key
-          << (Barred.contains(key) ? ", barred" : "") << '\n';
+          << (BarredKeys.contains(key) ? ", barred" : "") << '\n';
 }
 
 void LogAccount::printLoads(std::ostream &out) const {
@@ -135,18 +138,18 @@
 }
 
 void LogAccount::printWaits(std::ostream &out) const {
-  constexpr double Most = 0.9;
+  constexpr double UpperQuantile = 0.9;
   out << "\nwaits before the first sending, ms\n"
       << "        n      p50      p90     long\n";
   for (const auto &[reason, waits] : Waits) {
     auto sorted = waits.Ms;
     std::sort(sorted.begin(), sorted.end());
-    auto isLong =
-        std::upper_bound(sorted.begin(), sorted.end(), Setup.LongHoldMs);
+    auto firstLong =
+        std::upper_bound(sorted.begin(), sorted.end(), Options.LongHoldMs);
     out << std::setw(9) << sorted.size() << std::fixed << std::setprecision(0)
         << std::setw(9) << quantile(sorted, 0.5) << std::setw(9)
-        << quantile(sorted, Most) << std::setw(9) << sorted.end() - isLong
-        << "  " << reason << '\n';
+        << quantile(sorted, UpperQuantile) << std::setw(9)
+        << sorted.end() - firstLong << "  " << reason << '\n';
   }
 }
 
@@ -157,7 +160,7 @@
     out << std::setw(9) << n.Requests << std::setw(9) << n.Complete
         << std::setw(8) << n.Refused << std::setw(8) << n.Failed
         << std::setw(10) << n.HeldLong << "  "
-        << double(key.second) * Setup.WindowSeconds << "  " << key.first
+        << double(key.second) * Options.WindowSeconds << "  " << key.first
         << '\n';
 }
 
--- a/Hemlockglade/Protocol/Account/LogAccount.h
+++ b/Hemlockglade/Protocol/Account/LogAccount.h
@@ -10,79 +10,85 @@
 
 namespace hemlockglade {
 
-/// Loads of one reason, by what they brought where.
+/// Number of loads for one reason, by where the weights had been loaded before.
 struct LoadCounts {
   std::uint64_t All = 0;
-  /// Weights and version that no replica had been loaded with before.
+  /// The weights and version had not been loaded on any replica.
   std::uint64_t First = 0;
-  /// Back to a replica that had been loaded with them.
+  /// They had been loaded on the same replica.
   std::uint64_t SameReplica = 0;
-  /// To a replica that had not, while another one had.
+  /// They had been loaded on other replicas only.
   std::uint64_t OtherReplica = 0;
 };
 
 /// How long requests waited at the entry for one reason.
 struct WaitCounts {
+  /// One value per request, in milliseconds.
   std::vector<double> Ms;
 };
 
-/// What requests that arrived in one span of time came to.
+/// Results of the requests that arrived in one window of time.
 struct WindowCounts {
   std::uint64_t Requests = 0;
   std::uint64_t Complete = 0;
   std::uint64_t Refused = 0;
   std::uint64_t Failed = 0;
-  /// Complete ones that were held longer than the account's bound before they
-  /// were first sent.
+  /// Complete requests that were held longer than `LongHoldMs` before they were
+  /// first sent.
   std::uint64_t HeldLong = 0;
 };
 
-/// Adds up what nodes decided, from their own log lines: how requests ended and
-/// what they waited for, what was loaded and how often again.
+/// Summarizes the decisions of nodes from their log lines: how requests ended
+/// and what they waited for, and which weights were loaded how often.
 class LogAccount {
 public:
   struct Settings {
     /// Length of a window, in seconds.
     double WindowSeconds = 2;
-    /// Requests held longer count as held long, in milliseconds: half of the
-    /// shortest target latency in use.
+    /// Requests held longer than this, in milliseconds, are counted as held
+    /// long. The default is half of the shortest target latency in use.
     double LongHoldMs = 300;
-    /// Requests whose sendings are kept until their end is read.
-    std::size_t MostOpen = 1'000'000;
+    /// Maximum number of requests whose attempts are kept until their end is
+    /// read; further requests are not tracked.
+    std::size_t MaxOpenRequests = 1'000'000;
   };
 
-  explicit LogAccount(Settings settings) : Setup(settings) {}
+  explicit LogAccount(Settings settings) : Options(settings) {}
 
   void add(const LogLine &line);
-  /// Prints the account as tables.
+  /// Prints the summary as tables.
   void print(std::ostream &out) const;
 
   std::uint64_t lines() const { return Lines; }
   const std::map<std::string, LoadCounts> &loads() const { return Loads; }
   const std::map<std::string, WaitCounts> &waits() const { return Waits; }
-  /// Refusals by what the request had waited for.
+  /// Refusals, by result and what the request had waited for.
   const std::map<std::string, std::uint64_t> &refusals() const {
     return Refusals;
   }
-  /// Tries at replicas by how they ended.
-  const std::map<std::string, std::uint64_t> &tries() const { return Tries; }
-  /// Requests that were not booked against their workspace's limit.
-  const std::map<std::string, std::uint64_t> &limited() const {
-    return Limited;
+  /// Attempts at replicas, by how they ended.
+  const std::map<std::string, std::uint64_t> &attempts() const {
+    return Attempts;
   }
-  /// Ends of replicas under requests, by the requests' keys, and the keys that
-  /// were barred.
-  const std::map<std::string, std::uint64_t> &ends() const { return Ends; }
-  const std::set<std::string> &barred() const { return Barred; }
-  /// By route and number of the window.
+  /// Requests for which no quota could be reserved, by workspace.
+  const std::map<std::string, std::uint64_t> &quotaRefusals() const {
+    return QuotaRefusals;
+  }
+  /// Ends of replicas while they ran a request, by the key of the request, and
+  /// the keys that were barred.
+  const std::map<std::string, std::uint64_t> &replicaEnds() const {
+    return ReplicaEnds;
+  }
+  const std::set<std::string> &barredKeys() const { return BarredKeys; }
+  /// Results by route and number of the window.
   const std::map<std::pair<std::string, std::int64_t>, WindowCounts> &
   windows() const {
     return Windows;
   }
 
 private:
-  /// What is known of a request before its end.
-  struct Open {
+  /// What is known of a request whose end has not been read yet.
+  struct OpenRequest {
     std::string Route;
     std::string Wait;
     double WaitedMs = 0;
@@ -97,18 +103,18 @@
   void printEnds(std::ostream &out) const;
   void printWindows(std::ostream &out) const;
 
-  Settings Setup;
+  Settings Options;
   std::uint64_t Lines = 0;
-  std::unordered_map<std::string, Open> Requests;
+  std::unordered_map<std::string, OpenRequest> Requests;
   std::map<std::string, LoadCounts> Loads;
-  /// Replicas that were loaded with weights and version.
+  /// Replicas on which weights were loaded, by weights and version.
   std::map<std::pair<std::string, std::uint64_t>, std::set<std::string>> Loaded;
   std::map<std::string, WaitCounts> Waits;
   std::map<std::string, std::uint64_t> Refusals;
-  std::map<std::string, std::uint64_t> Tries;
-  std::map<std::string, std::uint64_t> Limited;
-  std::map<std::string, std::uint64_t> Ends;
-  std::set<std::string> Barred;
+  std::map<std::string, std::uint64_t> Attempts;
+  std::map<std::string, std::uint64_t> QuotaRefusals;
+  std::map<std::string, std::uint64_t> ReplicaEnds;
+  std::set<std::string> BarredKeys;
   std::map<std::pair<std::string, std::int64_t>, WindowCounts> Windows;
 };
 
--- a/Hemlockglade/Protocol/Account/LogLine.cpp
+++ b/Hemlockglade/Protocol/Account/LogLine.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// The number with which a line begins, if it begins with one.
+/// Returns the number before the JSON object, if the line begins with one that
+/// is followed by a space or tab.
 std::optional<double> leadingNumber(std::string_view text) {
-  std::string word(text.substr(0, text.find('{')));
+  std::string prefix(text.substr(0, text.find('{')));
   char *end = nullptr;
-  double out = std::strtod(word.c_str(), &end);
-  bool whole = end != word.c_str() && (*end == ' ' || *end == '\t');
-  return whole ? std::optional(out) : std::nullopt;
+  double out = std::strtod(prefix.c_str(), &end);
+  bool hasNumber = end != prefix.c_str() && (*end == ' ' || *end == '\t');
+  return hasNumber ? std::optional(out) : std::nullopt;
 }
 
 } // namespace
