--- a/Hemlockglade/Protocol/Admin/AdminFormat.cpp
+++ b/Hemlockglade/Protocol/Admin/AdminFormat.cpp
@@ -15,20 +15,20 @@
   };
   auto node = columnOf("node");
   auto state = columnOf("state");
-  auto inForce = columnOf("revision");
-  if (std::max({node, state, inForce}) >= nodes.Columns.size())
+  auto revisionColumn = columnOf("revision");
+  if (std::max({node, state, revisionColumn}) >= nodes.Columns.size())
     return std::nullopt;
   std::vector<std::string> behind;
-  bool anyLive = false;
+  bool hasLive = false;
   for (const auto &row : nodes.Rows) {
     if (row[state] != FieldValue(std::string(LiveState)))
       continue;
-    anyLive = true;
-    const auto *number = std::get_if<std::int64_t>(&row[inForce]);
+    hasLive = true;
+    const auto *number = std::get_if<std::int64_t>(&row[revisionColumn]);
     if (!number || *number < static_cast<std::int64_t>(revision))
       behind.push_back(valueText(row[node]));
   }
-  return anyLive ? std::optional(std::move(behind)) : std::nullopt;
+  return hasLive ? std::optional(std::move(behind)) : std::nullopt;
 }
 
 namespace admin_format {
@@ -37,7 +37,8 @@
 
 namespace {
 
-/// The body as JSON; discarded if it is none, or nested too deeply.
+/// Parses a body; the value is `discarded` if the body is not JSON or is nested
+/// too deeply.
 json parse(std::string_view body) {
   try {
     return parseJson(body);
@@ -48,14 +49,15 @@
 
 std::string dump(const json &node) { return writeJson(node) + '\n'; }
 
-/// Text of a member; empty if there is none.
-std::string textOf(const json &node, const char *key) {
+/// Returns a member of type string; empty if there is none.
+std::string stringMember(const json &node, const char *key) {
   auto it = node.find(key);
   return it != node.end() && it->is_string() ? it->get<std::string>() : "";
 }
 
-std::optional<std::vector<std::string>> textsOf(const json &node,
-                                                const char *key) {
+/// Returns a member that is a list of strings; nothing if it is anything else.
+std::optional<std::vector<std::string>> stringListMember(const json &node,
+                                                         const char *key) {
   auto it = node.find(key);
   if (it == node.end() || !it->is_array())
     return std::nullopt;
@@ -68,7 +70,7 @@
   return out;
 }
 
-json valueNode(const FieldValue &value) {
+json valueJson(const FieldValue &value) {
   return std::visit([](const auto &it) { return json(it); }, value);
 }
 
@@ -108,8 +110,9 @@
   if (!node.is_object())
     return tl::unexpected(
         ProtocolError{ProtocolErrorKind::Malformed, "not a JSON object"});
-  StatementRequest out{textOf(node, "statement"), textOf(node, "id"),
-                       textOf(node, "operator")};
+  StatementRequest out{stringMember(node, "statement"),
+                       stringMember(node, "id"),
+                       stringMember(node, "operator")};
   if (out.Statement.empty() || out.CommandId.empty())
     return tl::unexpected(ProtocolError{ProtocolErrorKind::BadValue,
                                         "'statement' and 'id' must be texts"});
@@ -122,7 +125,7 @@
     assert(row.size() == rows.Columns.size());
     json node = json::object();
     for (std::size_t it = 0; it < row.size(); ++it)
-      node[rows.Columns[it]] = valueNode(row[it]);
+      node[rows.Columns[it]] = valueJson(row[it]);
     list.push_back(std::move(node));
   }
   return dump({{"columns", rows.Columns}, {"rows", std::move(list)}});
@@ -139,7 +142,8 @@
 
 tl::expected<RowSet, AdminError> readRows(std::string_view body) {
   auto node = parse(body);
-  auto columns = node.is_object() ? textsOf(node, "columns") : std::nullopt;
+  auto columns =
+      node.is_object() ? stringListMember(node, "columns") : std::nullopt;
   if (!columns || !node.contains("rows") || !node["rows"].is_array())
     return tl::unexpected(readError(body));
   RowSet out{std::move(*columns), {}};
@@ -154,7 +158,8 @@
 
 tl::expected<ChangeAnswer, AdminError> readChange(std::string_view body) {
   auto node = parse(body);
-  auto changes = node.is_object() ? textsOf(node, "changes") : std::nullopt;
+  auto changes =
+      node.is_object() ? stringListMember(node, "changes") : std::nullopt;
   if (!changes || !node.contains("revision") ||
       !node["revision"].is_number_unsigned())
     return tl::unexpected(readError(body));
@@ -168,8 +173,9 @@
     return {0, "an answer that is not understood: " + std::string(body)};
   const auto &error = node["error"];
   auto column = error.find("column");
-  bool numbered = column != error.end() && column->is_number_unsigned();
-  return {numbered ? column->get<std::size_t>() : 0, textOf(error, "message")};
+  bool hasColumn = column != error.end() && column->is_number_unsigned();
+  return {hasColumn ? column->get<std::size_t>() : 0,
+          stringMember(error, "message")};
 }
 
 } // namespace admin_format
--- a/Hemlockglade/Protocol/Admin/AdminFormat.h
+++ b/Hemlockglade/Protocol/Admin/AdminFormat.h
@@ -7,26 +7,26 @@
 
 namespace hemlockglade {
 
-/// Paths of the operators' interface on a node's caller port.
+/// Paths of the operators' interface, served on a node's caller port.
 namespace admin_path {
-/// POST a statement; answers with rows.
+/// POST a statement; the answer is rows.
 inline constexpr std::string_view Statement = "/admin/statement";
-/// POST declarations; answers with the new revision.
+/// POST declarations; the answer is the new revision and the changes.
 inline constexpr std::string_view Apply = "/admin/apply";
 /// GET the declarations in force, as YAML.
 inline constexpr std::string_view Export = "/admin/export";
-/// POST declarations; answers with what they would change.
+/// POST declarations; the answer is what they would change.
 inline constexpr std::string_view Diff = "/admin/diff";
 } // namespace admin_path
 
 namespace header {
-/// Id of an operator's command: a repeat with the same id is the same command.
+/// Id of an operator's command; a retry with the same id is the same command.
 inline constexpr std::string_view CommandId = "X-Command-Id";
-/// Name of the operator, for the log and for conflicts.
+/// Name of the operator, for the log and for reports of conflicts.
 inline constexpr std::string_view Operator = "X-Operator";
 } // namespace header
 
-/// A statement on its way to a node.
+/// A statement as it is sent to a node.
 struct StatementRequest {
   std::string Statement;
   std::string CommandId;
@@ -35,18 +35,19 @@
   bool operator==(const StatementRequest &) const = default;
 };
 
-/// Why a node did not do what it was asked.
+/// Why a node did not execute a command.
 struct AdminError {
-  /// Column of the statement, from 1; 0 if no column is to blame.
+  /// Column of the statement where the error is, starting at 1; 0 if the error
+  /// is not at a column.
   std::size_t Column = 0;
   std::string Message;
 
   bool operator==(const AdminError &) const = default;
 };
 
-/// What an apply or a diff gives.
+/// Answer to an apply or a diff.
 struct ChangeAnswer {
-  /// The revision that was committed, or the one in force for a diff.
+  /// The committed revision; for a diff, the one in force.
   Revision Number = 0;
   /// The differences, see `diffCatalogs`.
   std::vector<std::string> Changes;
@@ -54,15 +55,16 @@
   bool operator==(const ChangeAnswer &) const = default;
 };
 
-/// The state, in `show nodes`, of a node that serves.
+/// State of a serving node in the rows of `show nodes`.
 inline constexpr std::string_view LiveState = "live";
 
-/// The live nodes that don't have the revision in force yet, from the rows of
-/// `show nodes`; nothing if the rows tell of no live node.
+/// Returns the live nodes on which the revision is not in force yet, from the
+/// rows of `show nodes`; nothing if the rows contain no live node.
 std::optional<std::vector<std::string>> nodesBehind(const RowSet &nodes,
                                                     Revision revision);
 
-/// The operators' messages as JSON; both the node's and the tool's side.
+/// Encodes and decodes the operators' messages as JSON, for nodes and for
+/// `hemlockctl`.
 namespace admin_format {
 
 /// `{"statement","id","operator"}`
@@ -74,17 +76,17 @@
 std::string rowsBody(const RowSet &rows);
 /// `{"error":{"column","message"}}`
 std::string errorBody(const AdminError &error);
-/// The error of a statement that does not parse.
+/// Error body for a statement that can't be parsed.
 std::string errorBody(const StatementError &error);
-/// Reads either answer to a statement.
+/// Parses the answer to a statement: rows or an error.
 tl::expected<RowSet, AdminError> readRows(std::string_view body);
 
 /// `{"revision","changes":[...]}`
 std::string changeBody(const ChangeAnswer &answer);
-/// Reads the answer to an apply or a diff.
+/// Parses the answer to an apply or a diff: changes or an error.
 tl::expected<ChangeAnswer, AdminError> readChange(std::string_view body);
 
-/// The error that a body tells; what is no such body becomes the message.
+/// Parses an error body. If the body is not one, the error's message quotes it.
 AdminError readError(std::string_view body);
 
 } // namespace admin_format
--- a/UnitTests/Protocol/Admin/AdminFormatTest.cpp
+++ b/UnitTests/Protocol/Admin/AdminFormatTest.cpp
@@ -4,7 +4,8 @@
 
 using namespace hemlockglade;
 
-TEST_CASE("the operators' messages survive the wire", "[admin]") {
+TEST_CASE("operators' messages that are encoded and decoded are unchanged",
+          "[admin]") {
   StatementRequest request{"show loaded where cell = \"\\\"\"", "c-1", "amel"};
   CHECK(*admin_format::readStatementRequest(
             admin_format::statementBody(request)) == request);
@@ -15,7 +16,8 @@
   CHECK(*admin_format::readChange(admin_format::changeBody(change)) == change);
 }
 
-TEST_CASE("either answer may be an error", "[admin]") {
+TEST_CASE("an error body is read as the error by every reader of answers",
+          "[admin]") {
   auto statement = parseStatement("show loaded where node = 1");
   REQUIRE_FALSE(statement);
   auto body = admin_format::errorBody(statement.error());
@@ -25,7 +27,7 @@
   CHECK(admin_format::readChange(body).error() == error);
 }
 
-TEST_CASE("what is no message is told apart", "[admin]") {
+TEST_CASE("a body that is not a valid message is rejected", "[admin]") {
   auto body =
       GENERATE("", "x", "[]", "{}", "{\"rows\":1,\"columns\":[1]}",
                "{\"revision\":-1,\"changes\":[]}", "{\"error\":1}",
@@ -38,7 +40,7 @@
              Catch::Contains("not understood"));
 }
 
-TEST_CASE("a revision is in force when each live node has it", "[admin]") {
+TEST_CASE("a revision is in force once every live node has it", "[admin]") {
   auto nodes = rowsFor(ShowSubject::Nodes);
   CHECK_FALSE(nodesBehind(nodes, 1));
   auto add = [&](const char *name, const char *state, std::int64_t revision) {
@@ -55,7 +57,7 @@
   CHECK_FALSE(nodesBehind(rowsFor(ShowSubject::Cells), 1));
 }
 
-TEST_CASE("a message that is nested too deeply is refused", "[admin]") {
+TEST_CASE("a message that is nested too deeply is rejected", "[admin]") {
   constexpr std::size_t Levels = 200000;
   std::string deep(Levels, '[');
   deep += "1" + std::string(Levels, ']');
