--- a/Hemlockglade/Protocol/Statement/FieldValue.cpp
+++ b/Hemlockglade/Protocol/Statement/FieldValue.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Room for the longest number that is written without an exponent.
+/// Buffer size for the longest `double` written without an exponent.
 constexpr std::size_t NumberBytes = 512;
 
 std::string decimalText(double number) {
--- a/Hemlockglade/Protocol/Statement/FieldValue.h
+++ b/Hemlockglade/Protocol/Statement/FieldValue.h
@@ -6,17 +6,18 @@
 
 namespace hemlockglade {
 
-/// One value of a row, or the value that a condition compares with.
+/// One value of a row, or the right operand of a condition.
 using FieldValue = std::variant<std::string, std::int64_t, double, bool>;
 
-/// The value as people read it; strings without quotes.
+/// Formats a value for display; strings are not quoted.
 std::string valueText(const FieldValue &value);
 
-/// The value as a statement has it; strings are quoted, and a decimal number
-/// always has a point.
+/// Formats a value as a literal of a statement: strings are quoted, and a
+/// decimal number always has a point.
 std::string valueLiteral(const FieldValue &value);
 
-/// Whether `left` goes before `right`: numbers by value, and before text.
+/// Returns whether `left` is ordered before `right`: numbers by value, and all
+/// numbers before text.
 bool valueLess(const FieldValue &left, const FieldValue &right);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Statement/Statement.cpp
+++ b/Hemlockglade/Protocol/Statement/Statement.cpp
@@ -45,12 +45,12 @@
 
 std::string text(const statement::Show &it) {
   auto out = "show " + std::string(subjectName(it.Subject));
-  const char *joint = " where ";
+  const char *separator = " where ";
   for (const auto &condition : it.Where) {
-    out += joint + condition.Field + ' ' +
+    out += separator + condition.Field + ' ' +
            std::string(comparisonName(condition.Operator)) + ' ' +
            valueLiteral(condition.Value);
-    joint = " and ";
+    separator = " and ";
   }
   return it.By.empty() ? out : out + " by " + it.By;
 }
--- a/Hemlockglade/Protocol/Statement/Statement.h
+++ b/Hemlockglade/Protocol/Statement/Statement.h
@@ -9,13 +9,13 @@
 
 namespace hemlockglade {
 
-/// What `show` can be asked for.
+/// Subjects of `show` statements.
 enum class ShowSubject : std::uint8_t {
   /// Adapters on replicas.
   Loaded,
-  /// Requests that wait, by adapter and class.
+  /// Waiting requests, by adapter and class.
   Waiting,
-  /// Requests that run, by replica and adapter.
+  /// Running requests, by replica and adapter.
   Running,
   Nodes,
   Cells,
@@ -23,20 +23,20 @@
   Adapters,
   /// The configuration in force, in one row.
   Config,
-  /// Each request that is here.
+  /// Every request that waits or runs.
   Requests,
   Classes,
   Pins,
 };
 
-/// All subjects.
+/// Returns all subjects.
 std::span<const ShowSubject> showSubjects();
-/// The subject's word in a statement.
+/// Returns the keyword of a subject in statements.
 std::string_view subjectName(ShowSubject subject);
-/// The fields of the subject's rows, in the order of their columns.
+/// Returns the fields of a subject's rows, in the order of the columns.
 std::span<const std::string_view> subjectFields(ShowSubject subject);
 
-/// How a condition compares.
+/// Comparison operator of a condition.
 enum class Comparison : std::uint8_t {
   Equal,
   NotEqual,
@@ -46,10 +46,10 @@
   GreaterOrEqual,
 };
 
-/// The operators of the comparisons: `=`, `!=`, `<`, `<=`, `>`, `>=`.
+/// Returns the operator as written: `=`, `!=`, `<`, `<=`, `>` or `>=`.
 std::string_view comparisonName(Comparison comparison);
 
-/// `FIELD OP VALUE`.
+/// One condition of a `where` clause: `FIELD OP VALUE`.
 struct Condition {
   std::string Field;
   Comparison Operator = Comparison::Equal;
@@ -64,9 +64,9 @@
 /// `show SUBJECT [where CONDITION [and CONDITION ...]] [by FIELD]`
 struct Show {
   ShowSubject Subject = ShowSubject::Loaded;
-  /// All must hold.
+  /// Conditions, all of which a row must satisfy.
   std::vector<Condition> Where;
-  /// Field to group by; empty for none.
+  /// Field to group by; empty for no grouping.
   std::string By;
 
   bool operator==(const Show &) const = default;
@@ -83,7 +83,7 @@
 /// `pin ADAPTER@VERSION [in FAILURE-DOMAIN] [copies N]`
 struct Pin {
   AdapterRef Adapter;
-  /// Empty for anywhere.
+  /// Empty for any failure domain.
   std::string FailureDomain;
   std::uint32_t Copies = 1;
 
@@ -93,7 +93,7 @@
 /// `unpin ADAPTER@VERSION [in FAILURE-DOMAIN]`
 struct Unpin {
   AdapterRef Adapter;
-  /// Empty for the pin that names none.
+  /// Empty for the pin that was set without a failure domain.
   std::string FailureDomain;
 
   bool operator==(const Unpin &) const = default;
@@ -113,7 +113,7 @@
   bool operator==(const Undrain &) const = default;
 };
 
-/// `stop host NAME`: a graceful stop of the node of that name.
+/// `stop host NAME`: a graceful stop of the node with that name.
 struct Stop {
   std::string Host;
 
@@ -127,24 +127,24 @@
                                statement::Unpin, statement::Drain,
                                statement::Undrain, statement::Stop>;
 
-/// Where a statement is wrong.
+/// Syntax error of a statement.
 struct StatementError {
-  /// Column of the first character that is not as expected, from 1.
+  /// Column of the first unexpected character, starting at 1.
   std::size_t Column = 1;
-  /// What should stand there.
+  /// What is valid at that column.
   std::string Expected;
 
-  /// The error as text: `column 6: expected ...`.
+  /// Returns the error as text: `column 6: expected ...`.
   std::string text() const;
 };
 
-/// Reads one statement.
+/// Parses one statement.
 tl::expected<Statement, StatementError> parseStatement(std::string_view text);
 
-/// The statement as text; parsing it gives an equal one.
+/// Formats a statement as text; parsing the text gives an equal statement.
 std::string statementText(const Statement &statement);
 
-/// Whether the statement only asks.
+/// Returns whether the statement only reads state and changes nothing.
 bool isQuery(const Statement &statement);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Statement/StatementParser.cpp
+++ b/Hemlockglade/Protocol/Statement/StatementParser.cpp
@@ -15,9 +15,10 @@
 constexpr const char *FieldLabel = "a field";
 constexpr const char *SubjectLabel = "a subject";
 
-// The pieces that statements are made of. A rule's name is what an error says
-// was expected. The library's own character classes assert on bytes outside of
-// ASCII, which anyone may send, so that the sets are spelled out.
+// Tokens of the grammar. The name of a rule is the text that an error gives as
+// expected. The character classes of Boost.Spirit assert on bytes outside of
+// ASCII, which input from the network may contain, so that the character sets
+// are written out.
 
 const auto Space = x3::char_(" \t\r\n\v\f");
 const auto NamePart = x3::char_("a-zA-Z0-9._-");
@@ -28,7 +29,8 @@
     x3::rule<struct QuotedTag, std::string>{"a quoted text"} =
         x3::lexeme['"' >> *(('\\' >> x3::char_) | ~x3::char_("\"\\")) >> '"'];
 
-/// A keyword, given with its quotes; not the start of a longer word.
+/// Matches a keyword that is not the start of a longer word. The argument has
+/// quotes, because it is also the text that errors give as expected.
 auto keyword(const char *quoted) {
   std::string text(quoted);
   text = text.substr(1, text.size() - 2);
@@ -36,14 +38,15 @@
              x3::lexeme[x3::lit(text) >> !NamePart];
 }
 
-/// Fails where it stands if the statement goes on; `expected` says what may.
+/// Matches the end of the statement; otherwise fails at the current position
+/// with the error text `expected`.
 auto end(const char *expected) {
   return x3::eps > (x3::rule<struct EndTag>{expected} = x3::eoi);
 }
 
-/// Never matches; `expected` says what would have.
-auto oneOf(const char *expected) {
-  return x3::eps > (x3::rule<struct OneOfTag>{expected} = !x3::eps);
+/// Never matches: fails at the current position with the error text `expected`.
+auto failExpecting(const char *expected) {
+  return x3::eps > (x3::rule<struct FailTag>{expected} = !x3::eps);
 }
 
 struct ComparisonTable : x3::symbols<Comparison> {
@@ -67,8 +70,9 @@
   return std::string(range.begin(), range.end());
 }
 
-/// Reads a whole number, a decimal one, `true`, `false` or a bare word.
-bool readWord(const std::string &word, FieldValue &out) {
+/// Parses a whole number, a decimal number, `true`, `false` or a bare word.
+/// Returns false if the word is none of these or the number is out of range.
+bool parseWord(const std::string &word, FieldValue &out) {
   const auto *end = word.data() + word.size();
   std::int64_t whole = 0;
   auto [wholeEnd, ec] = std::from_chars(word.data(), end, whole);
@@ -95,9 +99,10 @@
 /// Builds a statement while the grammar matches it.
 class StatementBuilder {
 public:
-  /// Reads the text into `Out`; throws x3::expectation_failure.
+  /// Parses the text into `Out`; throws x3::expectation_failure on an error.
   void parse(std::string_view text);
-  /// What was expected, with the choices where there are several.
+  /// Returns the error text for the name of a rule; for fields and subjects,
+  /// the valid words are appended.
   std::string expected(const std::string &label) const;
 
   Statement Out;
@@ -113,10 +118,10 @@
 
   bool isField(const std::string &text) const;
 
-  // The parts of every kind of statement; what was read last stays here until
-  // the statement is whole.
-  statement::Show Shown;
-  Condition Current;
+  // Parts of all kinds of statement. Each holds the value that was parsed last
+  // until the statement is complete.
+  statement::Show CurrentShow;
+  Condition CurrentCondition;
   AdapterRef Adapter;
   std::string Replica;
   std::string Domain;
@@ -125,60 +130,64 @@
 };
 
 bool StatementBuilder::isField(const std::string &text) const {
-  auto fields = subjectFields(Shown.Subject);
+  auto fields = subjectFields(CurrentShow.Subject);
   return std::find(fields.begin(), fields.end(), text) != fields.end();
 }
 
 auto StatementBuilder::name(const char *label, std::string &into) {
-  auto take = [&into](auto &context) { into = tokenText(context); };
-  return x3::rule<struct NameTag>{label} = NameToken[take];
+  auto store = [&into](auto &context) { into = tokenText(context); };
+  return x3::rule<struct NameTag>{label} = NameToken[store];
 }
 
 auto StatementBuilder::adapter() {
-  auto take = [this](auto &context) {
+  auto store = [this](auto &context) {
     auto it = AdapterRef::parse(tokenText(context));
     x3::_pass(context) = it && it->Version > 0;
     if (it)
       Adapter = *it;
   };
   return x3::rule<struct AdapterTag>{
-             "an adapter and version, such as oath-fr@7"} = AdapterToken[take];
+             "an adapter and version, such as oath-fr@7"} = AdapterToken[store];
 }
 
 auto StatementBuilder::condition() {
   static const ComparisonTable Comparisons;
-  auto takeField = [this](auto &context) {
-    Current.Field = tokenText(context);
-    x3::_pass(context) = isField(Current.Field);
+  auto storeField = [this](auto &context) {
+    CurrentCondition.Field = tokenText(context);
+    x3::_pass(context) = isField(CurrentCondition.Field);
   };
-  auto takeOperator = [this](auto &context) {
-    Current.Operator = x3::_attr(context);
+  auto storeOperator = [this](auto &context) {
+    CurrentCondition.Operator = x3::_attr(context);
   };
-  auto takeText = [this](auto &context) { Current.Value = x3::_attr(context); };
-  auto takeWord = [this](auto &context) {
-    x3::_pass(context) = readWord(tokenText(context), Current.Value);
+  auto storeText = [this](auto &context) {
+    CurrentCondition.Value = x3::_attr(context);
   };
-  auto whole = [this](auto &) { Shown.Where.push_back(Current); };
-  auto field = x3::rule<struct FieldTag>{FieldLabel} = NameToken[takeField];
+  auto storeWord = [this](auto &context) {
+    x3::_pass(context) = parseWord(tokenText(context), CurrentCondition.Value);
+  };
+  auto storeCondition = [this](auto &) {
+    CurrentShow.Where.push_back(CurrentCondition);
+  };
+  auto field = x3::rule<struct FieldTag>{FieldLabel} = NameToken[storeField];
   auto comparison = x3::rule<struct ComparisonTag>{"=, !=, <, <=, > or >="} =
-      Comparisons[takeOperator];
+      Comparisons[storeOperator];
   auto value = x3::rule<struct ValueTag>{"a word, a number or a quoted text"} =
-      QuotedToken[takeText] | WordToken[takeWord];
-  return (x3::eps > field > comparison > value)[whole];
+      QuotedToken[storeText] | WordToken[storeWord];
+  return (x3::eps > field > comparison > value)[storeCondition];
 }
 
 auto StatementBuilder::show() {
   static const SubjectTable Subjects;
-  auto takeSubject = [this](auto &context) {
-    Shown.Subject = x3::_attr(context);
+  auto storeSubject = [this](auto &context) {
+    CurrentShow.Subject = x3::_attr(context);
   };
-  auto takeBy = [this](auto &context) {
-    Shown.By = tokenText(context);
-    x3::_pass(context) = isField(Shown.By);
+  auto storeBy = [this](auto &context) {
+    CurrentShow.By = tokenText(context);
+    x3::_pass(context) = isField(CurrentShow.By);
   };
   auto subject = x3::rule<struct SubjectTag>{SubjectLabel} =
-      x3::lexeme[Subjects[takeSubject] >> !NamePart];
-  auto field = x3::rule<struct ByTag>{FieldLabel} = NameToken[takeBy];
+      x3::lexeme[Subjects[storeSubject] >> !NamePart];
+  auto field = x3::rule<struct ByTag>{FieldLabel} = NameToken[storeBy];
   auto by = keyword("'by'") > field > end("the end of the statement");
   auto where = keyword("'where'") > condition() >
                *(keyword("'and'") > condition()) >
@@ -193,12 +202,12 @@
 }
 
 auto StatementBuilder::pin() {
-  auto take = [this](auto &context) {
+  auto store = [this](auto &context) {
     Copies = x3::_attr(context);
     x3::_pass(context) = Copies >= 1 && Copies <= MaxCopies;
   };
   auto number = x3::rule<struct CopiesTag>{"a number from 1 to 10000"} =
-      x3::lexeme[x3::uint_[take] >> !NamePart];
+      x3::lexeme[x3::uint_[store] >> !NamePart];
   auto copies = keyword("'copies'") > number > end("the end of the statement");
   auto domain = keyword("'in'") > name("a failure domain", Domain) >
                 (copies | end("'copies' or the end of the statement"));
@@ -214,25 +223,26 @@
 }
 
 void StatementBuilder::parse(std::string_view text) {
-  auto shown = [this](auto &) { Out = Shown; };
-  auto loaded = [this](auto &) { Out = statement::Load{Adapter, Replica}; };
-  auto pinned = [this](auto &) {
+  auto onShow = [this](auto &) { Out = CurrentShow; };
+  auto onLoad = [this](auto &) { Out = statement::Load{Adapter, Replica}; };
+  auto onPin = [this](auto &) {
     Out = statement::Pin{Adapter, Domain, Copies};
   };
-  auto unpinned = [this](auto &) { Out = statement::Unpin{Adapter, Domain}; };
-  auto drained = [this](auto &) { Out = statement::Drain{Replica}; };
-  auto undrained = [this](auto &) { Out = statement::Undrain{Replica}; };
-  auto stopped = [this](auto &) { Out = statement::Stop{Host}; };
+  auto onUnpin = [this](auto &) { Out = statement::Unpin{Adapter, Domain}; };
+  auto onDrain = [this](auto &) { Out = statement::Drain{Replica}; };
+  auto onUndrain = [this](auto &) { Out = statement::Undrain{Replica}; };
+  auto onStop = [this](auto &) { Out = statement::Stop{Host}; };
   auto replica = x3::eps > keyword("'replica'") >
                  name("a replica's name", Replica) >
                  end("the end of the statement");
   auto host = x3::eps > keyword("'host'") > name("a host's name", Host) >
               end("the end of the statement");
-  auto grammar = show()[shown] | load()[loaded] | pin()[pinned] |
-                 unpin()[unpinned] | (keyword("'drain'") > replica)[drained] |
-                 (keyword("'undrain'") > replica)[undrained] |
-                 (keyword("'stop'") > host)[stopped] |
-                 oneOf("show, load, pin, unpin, drain, undrain or stop");
+  auto grammar =
+      show()[onShow] | load()[onLoad] | pin()[onPin] | unpin()[onUnpin] |
+      (keyword("'drain'") > replica)[onDrain] |
+      (keyword("'undrain'") > replica)[onUndrain] |
+      (keyword("'stop'") > host)[onStop] |
+      failExpecting("show, load, pin, unpin, drain, undrain or stop");
   [[maybe_unused]] bool matched =
       x3::phrase_parse(text.begin(), text.end(), grammar, Space);
   assert(matched);
@@ -240,17 +250,17 @@
 
 std::string StatementBuilder::expected(const std::string &label) const {
   auto out = label;
-  const char *joint = ": ";
-  auto list = [&](std::string_view word) {
-    out += joint + std::string(word);
-    joint = ", ";
+  const char *separator = ": ";
+  auto append = [&](std::string_view word) {
+    out += separator + std::string(word);
+    separator = ", ";
   };
   if (label == SubjectLabel) {
     for (auto it : showSubjects())
-      list(subjectName(it));
+      append(subjectName(it));
   } else if (label == FieldLabel) {
-    for (auto it : subjectFields(Shown.Subject))
-      list(it);
+    for (auto it : subjectFields(CurrentShow.Subject))
+      append(it);
   }
   return out;
 }
--- a/Hemlockglade/Protocol/Statement/StatementRows.cpp
+++ b/Hemlockglade/Protocol/Statement/StatementRows.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-struct ValueOrder {
+struct ValueLess {
   bool operator()(const FieldValue &left, const FieldValue &right) const {
     return valueLess(left, right);
   }
 };
 
-bool holds(const FieldValue &left, Comparison comparison,
-           const FieldValue &right) {
+bool isSatisfied(const FieldValue &left, Comparison comparison,
+                 const FieldValue &right) {
   bool less = valueLess(left, right);
   bool greater = valueLess(right, left);
   switch (comparison) {
@@ -43,13 +43,13 @@
 void filter(RowSet &rows, const Condition &condition) {
   auto column = columnOf(rows, condition.Field);
   std::erase_if(rows.Rows, [&](const auto &row) {
-    return !holds(row[column], condition.Operator, condition.Value);
+    return !isSatisfied(row[column], condition.Operator, condition.Value);
   });
 }
 
 RowSet group(const RowSet &rows, const std::string &field) {
   auto column = columnOf(rows, field);
-  std::map<FieldValue, std::int64_t, ValueOrder> counts;
+  std::map<FieldValue, std::int64_t, ValueLess> counts;
   for (const auto &row : rows.Rows)
     ++counts[row[column]];
   RowSet out{{field, "count"}, {}};
@@ -62,8 +62,8 @@
   return out;
 }
 
-/// A count as a field's value.
-template <typename T> FieldValue whole(T count) {
+/// Converts an integer to a field value.
+template <typename T> FieldValue integerValue(T count) {
   return static_cast<std::int64_t>(count);
 }
 
@@ -72,31 +72,35 @@
     std::string versions;
     for (auto version : it.Versions)
       versions += (versions.empty() ? "" : ",") + std::to_string(version);
-    out.Rows.push_back({name, it.Service, whole(it.Current), versions});
+    out.Rows.push_back({name, it.Service, integerValue(it.Current), versions});
   }
   std::sort(out.Rows.begin(), out.Rows.end());
 }
 
 void addConfig(RowSet &out, const Catalog &catalog) {
   out.Rows.push_back(
-      {whole(catalog.Number), whole(catalog.Services.size()),
-       whole(catalog.Replicas.size()), whole(catalog.Adapters.size()),
-       whole(catalog.Classes.size()), whole(catalog.Rules.size()),
-       whole(catalog.Pins.size()), whole(catalog.Drained.size())});
+      {integerValue(catalog.Number), integerValue(catalog.Services.size()),
+       integerValue(catalog.Replicas.size()),
+       integerValue(catalog.Adapters.size()),
+       integerValue(catalog.Classes.size()), integerValue(catalog.Rules.size()),
+       integerValue(catalog.Pins.size()),
+       integerValue(catalog.Drained.size())});
 }
 
 void addClasses(RowSet &out, const Catalog &catalog) {
   for (const auto &[name, it] : catalog.Classes) {
     auto deadline =
         std::chrono::duration_cast<std::chrono::milliseconds>(it.Deadline);
-    out.Rows.push_back({name, whole(it.Priority), whole(deadline.count()),
-                        whole(it.QueueLimit)});
+    out.Rows.push_back({name, integerValue(it.Priority),
+                        integerValue(deadline.count()),
+                        integerValue(it.QueueLimit)});
   }
 }
 
 void addPins(RowSet &out, const Catalog &catalog) {
   for (const auto &[name, it] : catalog.Pins)
-    out.Rows.push_back({it.Adapter.text(), it.FailureDomain, whole(it.Copies)});
+    out.Rows.push_back(
+        {it.Adapter.text(), it.FailureDomain, integerValue(it.Copies)});
 }
 
 std::string padded(std::string text, std::size_t width) {
@@ -104,8 +108,8 @@
   return text;
 }
 
-std::string line(const std::vector<std::string> &cells,
-                 const std::vector<std::size_t> &widths) {
+std::string tableLine(const std::vector<std::string> &cells,
+                      const std::vector<std::size_t> &widths) {
   std::string out;
   for (std::size_t it = 0; it < cells.size(); ++it)
     out += (it == 0 ? "" : "  ") + padded(cells[it], widths[it]);
@@ -153,7 +157,7 @@
   }
   std::string out;
   for (const auto &texts : cells)
-    out += line(texts, widths);
+    out += tableLine(texts, widths);
   return out;
 }
 
--- a/Hemlockglade/Protocol/Statement/StatementRows.h
+++ b/Hemlockglade/Protocol/Statement/StatementRows.h
@@ -5,7 +5,7 @@
 
 namespace hemlockglade {
 
-/// A table: each row has one value a column.
+/// A table; each row has one value per column.
 struct RowSet {
   std::vector<std::string> Columns;
   std::vector<std::vector<FieldValue>> Rows;
@@ -13,19 +13,19 @@
   bool operator==(const RowSet &) const = default;
 };
 
-/// An empty table with the columns of a subject.
+/// Returns an empty table with the columns of a subject.
 RowSet rowsFor(ShowSubject subject);
 
-/// The rows that the statement asks for: filtered by `where`, then grouped by
-/// `by` into one row a value with a column `count`, most first. The given rows
-/// have the columns of the statement's subject.
+/// Returns the rows that the statement selects: filtered by `where`, then
+/// grouped by `by` into one row per value with a column `count`, largest count
+/// first. `rows` must have the columns of the statement's subject.
 RowSet selectRows(RowSet rows, const statement::Show &show);
 
-/// The rows of what the configuration alone tells: adapters, config, classes
-/// and pins; empty for the other subjects.
+/// Returns the rows of the subjects that depend on the catalog alone: adapters,
+/// config, classes and pins; empty for the other subjects.
 RowSet catalogRows(ShowSubject subject, const Catalog &catalog);
 
-/// The table as aligned text with a line of column names.
+/// Formats a table as aligned text, with the column names in the first line.
 std::string tableText(const RowSet &rows);
 
 } // namespace hemlockglade
--- a/UnitTests/Protocol/Statement/StatementRowsTest.cpp
+++ b/UnitTests/Protocol/Statement/StatementRowsTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-RowSet loaded() {
+RowSet loadedRows() {
   auto rows = rowsFor(ShowSubject::Loaded);
   auto add = [&](const char *replica, const char *adapter, std::int64_t n) {
     rows.Rows.push_back({"assistant/0", replica, "hall-a", adapter, n});
@@ -17,15 +17,15 @@
   return rows;
 }
 
-RowSet ask(const char *text) {
+RowSet query(const char *text) {
   auto statement = parseStatement(text);
   REQUIRE(statement);
-  return selectRows(loaded(), std::get<statement::Show>(*statement));
+  return selectRows(loadedRows(), std::get<statement::Show>(*statement));
 }
 
 } // namespace
 
-TEST_CASE("where keeps the rows for which all conditions hold", "[rows]") {
+TEST_CASE("where keeps the rows that satisfy all conditions", "[rows]") {
   struct Case {
     const char *Text;
     std::size_t Count;
@@ -43,24 +43,23 @@
                     {"show loaded where replica = a-1 and running > 0", 1},
                     {"show loaded where replica = a-3", 0}}));
   INFO(it.Text);
-  CHECK(ask(it.Text).Rows.size() == it.Count);
+  CHECK(query(it.Text).Rows.size() == it.Count);
 }
 
-TEST_CASE("by counts the rows of each value, most first", "[rows]") {
+TEST_CASE("by counts the rows of each value, largest count first", "[rows]") {
   RowSet expected{
       {"adapter", "count"},
       {{"oath-fr@7", std::int64_t{2}}, {"oath-ar@2", std::int64_t{1}}}};
-  CHECK(ask("show loaded by adapter") == expected);
+  CHECK(query("show loaded by adapter") == expected);
 }
 
-TEST_CASE("a table is aligned", "[rows]") {
-  CHECK(tableText(ask("show loaded by replica")) == "replica  count\n"
-                                                    "a-1      2\n"
-                                                    "a-2      1\n");
+TEST_CASE("a table is printed with aligned columns", "[rows]") {
+  CHECK(tableText(query("show loaded by replica")) == "replica  count\n"
+                                                      "a-1      2\n"
+                                                      "a-2      1\n");
 }
 
-TEST_CASE("the configuration's own rows have their subject's columns",
-          "[rows]") {
+TEST_CASE("rows from the catalog have the columns of their subject", "[rows]") {
   Catalog catalog;
   catalog.Number = 4;
   catalog.Adapters["b"] = {"b", "s", 2, {1, 2}};
--- a/UnitTests/Protocol/Statement/StatementTest.cpp
+++ b/UnitTests/Protocol/Statement/StatementTest.cpp
@@ -71,20 +71,22 @@
 
 } // namespace
 
-TEST_CASE("a statement survives printing and parsing", "[statement]") {
-  auto holds = rc::check("parse(text(x)) == x", [] {
+TEST_CASE("a statement that is printed and parsed is unchanged",
+          "[statement]") {
+  auto passed = rc::check("parse(text(x)) == x", [] {
     auto statement = anyStatement();
     auto text = statementText(statement);
-    auto back = parseStatement(text);
-    if (!back)
-      RC_FAIL(text + " " + back.error().text());
-    RC_ASSERT(*back == statement);
-    RC_ASSERT(statementText(*back) == text);
+    auto parsed = parseStatement(text);
+    if (!parsed)
+      RC_FAIL(text + " " + parsed.error().text());
+    RC_ASSERT(*parsed == statement);
+    RC_ASSERT(statementText(*parsed) == text);
   });
-  REQUIRE(holds);
+  REQUIRE(passed);
 }
 
-TEST_CASE("statements may be written in several ways", "[statement]") {
+TEST_CASE("equivalent spellings of a statement give the same canonical text",
+          "[statement]") {
   struct Case {
     const char *Text;
     const char *Canonical;
@@ -114,7 +116,8 @@
   CHECK(statementText(*statement) == it.Canonical);
 }
 
-TEST_CASE("an error gives the column and what was expected", "[statement]") {
+TEST_CASE("a syntax error gives the column and what was expected",
+          "[statement]") {
   struct Case {
     const char *Text;
     std::size_t Column;
@@ -164,8 +167,9 @@
   CHECK_THAT(statement.error().Expected, Catch::StartsWith(it.Expected));
 }
 
-TEST_CASE("no text makes the parser fail", "[statement]") {
-  auto holds = rc::check("an error's column is inside the text", [] {
+TEST_CASE("a corrupted statement gives a statement or an error inside the text",
+          "[statement]") {
+  auto passed = rc::check("an error's column is inside the text", [] {
     auto text = statementText(anyStatement());
     auto at = *rc::gen::inRange<std::size_t>(0, text.size());
     text[at] = *rc::gen::arbitrary<char>();
@@ -173,5 +177,5 @@
     if (!statement)
       RC_ASSERT(statement.error().Column <= text.size() + 1);
   });
-  REQUIRE(holds);
+  REQUIRE(passed);
 }
