--- a/Hemlockglade/Protocol/Endpoint/EngineFormat.cpp
+++ b/Hemlockglade/Protocol/Endpoint/EngineFormat.cpp
@@ -15,7 +15,7 @@
       ProtocolError{ProtocolErrorKind::Malformed, std::move(text)});
 }
 
-/// The text that an engine would see first: prompt or all messages.
+/// Returns the text that an engine starts from: the prompt or all messages.
 std::string promptText(const json &node) {
   if (auto it = node.find("prompt"); it != node.end())
     return it->is_string() ? it->get<std::string>() : it->dump();
--- a/Hemlockglade/Protocol/Endpoint/EngineFormat.h
+++ b/Hemlockglade/Protocol/Endpoint/EngineFormat.h
@@ -9,7 +9,7 @@
 
 namespace hemlockglade {
 
-/// Header names that this system adds to the usual protocols.
+/// Names of the headers that this system uses beside the standard ones.
 namespace header {
 inline constexpr std::string_view Fence = "X-Fencing-Epoch";
 inline constexpr std::string_view RequestId = "X-Request-Id";
@@ -23,20 +23,21 @@
 inline constexpr std::string_view Repeatable = "X-Repeatable";
 } // namespace header
 
-/// What an engine says of itself, `GET /load`.
+/// State reported by an engine in its answer to `GET /load`.
 struct EngineReport {
-  /// Changes with each start of the engine.
+  /// Incarnation of the engine; changes with each start.
   std::string Incarnation;
   std::uint32_t Running = 0;
   std::uint32_t Waiting = 0;
-  /// Adapters that are loaded, `name@version`, and requests running on each.
+  /// Loaded adapters as `name@version`, and the number of requests running on
+  /// each.
   std::vector<std::pair<std::string, std::uint32_t>> Resident;
   /// Age of the report, in milliseconds.
   std::int64_t AgeMs = 0;
 };
 
-/// Engines on the wire: the OpenAI-style API, with the orders to load and
-/// unload adapters as vLLM publishes them.
+/// Encodes and decodes messages of engines: their reports, and the orders to
+/// load and unload adapters of vLLM's OpenAI-style API.
 namespace engine_format {
 std::string reportBody(const EngineReport &report);
 tl::expected<EngineReport, ProtocolError> readReport(std::string_view body);
@@ -44,32 +45,33 @@
 std::string loadBody(const std::string &adapter);
 /// Body of `POST /v1/unload_lora_adapter`.
 std::string unloadBody(const std::string &adapter);
-/// Adapter named in either body.
+/// Parses the body of either order and returns the adapter.
 tl::expected<std::string, ProtocolError> readOrder(std::string_view body);
 } // namespace engine_format
 
-/// What a caller's completion request says that matters for routing.
+/// The contents of a caller's completion request that routing depends on.
 struct CompletionRequest {
   AdapterRef Adapter;
   bool Stream = false;
   std::uint64_t PrefixHash = 0;
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxTokens = 0;
-  /// The body as it goes to the engine; it names the exact version.
+  /// The body as sent to the engine; its `model` includes the version.
   std::string Body;
 };
 
-/// Reads an OpenAI-style completion or chat body. `currentVersion` turns a
-/// name without a version into one with it; 0 if it knows no such adapter.
+/// Parses the body of an OpenAI-style completion or chat request.
+/// `currentVersion` returns the version to use for an adapter name without one,
+/// or 0 if there is no such adapter.
 tl::expected<CompletionRequest, ProtocolError> readCompletion(
     std::string_view body,
     const std::function<std::uint32_t(const std::string &)> &currentVersion);
 
-/// Whether the body of an answer that was not streamed came to its end: each
-/// choice says why the engine finished it.
+/// Returns whether the body of an answer that was not streamed is complete:
+/// each choice has a `finish_reason`.
 bool isWholeCompletion(std::string_view body);
 
-/// An OpenAI-style error body.
+/// Returns an OpenAI-style error body.
 std::string errorBody(std::string_view type, std::string_view message);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Endpoint/EventSplitter.cpp
+++ b/Hemlockglade/Protocol/Endpoint/EventSplitter.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-constexpr std::string_view LineEnd = "\n\n";
-constexpr std::string_view CrLineEnd = "\r\n\r\n";
+constexpr std::string_view EventEnd = "\n\n";
+constexpr std::string_view CrLfEventEnd = "\r\n\r\n";
 constexpr std::string_view DoneLine = "data: [DONE]";
 
-/// Length of the whole events at the start of a text.
-std::size_t wholeLength(std::string_view text) {
-  auto end = text.rfind(LineEnd);
-  auto crEnd = text.rfind(CrLineEnd);
-  std::size_t n = end == text.npos ? 0 : end + LineEnd.size();
-  std::size_t cr = crEnd == text.npos ? 0 : crEnd + CrLineEnd.size();
-  return std::max(n, cr);
+/// Returns the length of the complete events at the start of a text.
+std::size_t completeLength(std::string_view text) {
+  auto end = text.rfind(EventEnd);
+  auto crEnd = text.rfind(CrLfEventEnd);
+  std::size_t n = end == text.npos ? 0 : end + EventEnd.size();
+  std::size_t nCrLf = crEnd == text.npos ? 0 : crEnd + CrLfEventEnd.size();
+  return std::max(n, nCrLf);
 }
 
-/// Whether the last event of a text ends the stream.
-bool endsStream(std::string_view events) {
+/// Returns whether the last event of a text ends the stream.
+bool hasStreamEnd(std::string_view events) {
   auto at = events.rfind(DoneLine);
   if (at == events.npos || (at > 0 && events[at - 1] != '\n'))
     return false;
@@ -31,19 +31,19 @@
 } // namespace
 
 std::string_view EventSplitter::take(std::string_view part) {
-  if (Rest.empty() && wholeLength(part) == part.size())
-    return note(part);
-  Rest.append(part);
-  auto n = wholeLength(Rest);
-  Whole.assign(Rest, 0, n);
-  Rest.erase(0, n);
-  Overflowed = Overflowed || Rest.size() > MaxEventBytes;
-  return note(Whole);
+  if (Partial.empty() && completeLength(part) == part.size())
+    return trackEnd(part);
+  Partial.append(part);
+  auto n = completeLength(Partial);
+  CompleteEvents.assign(Partial, 0, n);
+  Partial.erase(0, n);
+  Overflowed = Overflowed || Partial.size() > MaxEventBytes;
+  return trackEnd(CompleteEvents);
 }
 
-std::string_view EventSplitter::note(std::string_view events) {
+std::string_view EventSplitter::trackEnd(std::string_view events) {
   if (!events.empty())
-    Done = endsStream(events);
+    Done = hasStreamEnd(events);
   return events;
 }
 
--- a/Hemlockglade/Protocol/Endpoint/EventSplitter.h
+++ b/Hemlockglade/Protocol/Endpoint/EventSplitter.h
@@ -5,29 +5,33 @@
 
 namespace hemlockglade {
 
-/// Cuts a stream of server-sent events into whole events, so that a torn one
-/// is never passed on, and knows whether the stream came to its proper end.
+/// Splits a stream of server-sent events into complete events, so that an
+/// incomplete one is never forwarded, and detects the regular end of the
+/// stream.
 class EventSplitter {
 public:
-  /// Bytes that one event may have.
+  /// Maximum size of one event, in bytes.
   static constexpr std::size_t MaxEventBytes = std::size_t{1024} * 1024;
 
-  /// Takes the next part and gives the whole events that it completes; the
-  /// view holds until the next call. Empty if there are none.
+  /// Adds the next part of the stream and returns the events that it completes;
+  /// empty if there are none. The view is valid until the next call and no
+  /// longer than the memory of `part`.
   std::string_view take(std::string_view part);
 
-  /// Whether the last whole event was `data: [DONE]` and nothing came after.
-  bool finished() const { return Done && Rest.empty(); }
-  /// Whether an event has begun and not ended.
-  bool torn() const { return !Rest.empty(); }
-  /// Whether an event was longer than is allowed.
+  /// Returns whether the last complete event was `data: [DONE]` and nothing
+  /// followed it.
+  bool finished() const { return Done && Partial.empty(); }
+  /// Returns whether an event has begun and is not complete yet.
+  bool torn() const { return !Partial.empty(); }
+  /// Returns whether an incomplete event has exceeded `MaxEventBytes`.
   bool overflowed() const { return Overflowed; }
 
 private:
-  std::string_view note(std::string_view events);
+  /// Updates `Done` from complete events and returns them.
+  std::string_view trackEnd(std::string_view events);
 
-  std::string Whole;
-  std::string Rest;
+  std::string CompleteEvents;
+  std::string Partial;
   bool Done = false;
   bool Overflowed = false;
 };
--- a/UnitTests/Protocol/Endpoint/EngineFormatTest.cpp
+++ b/UnitTests/Protocol/Endpoint/EngineFormatTest.cpp
@@ -12,7 +12,7 @@
   return name == "oath-fr" ? 7 : 0;
 }
 
-std::string repeated(std::string_view text, std::size_t n) {
+std::string repeat(std::string_view text, std::size_t n) {
   std::string out;
   while (n--)
     out += text;
@@ -21,25 +21,26 @@
 
 } // namespace
 
-TEST_CASE("reports and orders come back as they were", "[engine]") {
+TEST_CASE("reports and orders that are encoded and decoded are unchanged",
+          "[engine]") {
   REQUIRE(rc::check([](std::uint32_t running, std::uint32_t waiting,
                        std::int64_t age,
                        const std::vector<std::uint32_t> &resident) {
     EngineReport report{"i", running, waiting, {}, age};
     for (auto it : resident)
       report.Resident.emplace_back("a@" + std::to_string(it), it);
-    auto back = engine_format::readReport(engine_format::reportBody(report));
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(back->Running == running);
-    RC_ASSERT(back->Waiting == waiting);
-    RC_ASSERT(back->AgeMs == age);
-    RC_ASSERT(back->Resident == report.Resident);
+    auto decoded = engine_format::readReport(engine_format::reportBody(report));
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(decoded->Running == running);
+    RC_ASSERT(decoded->Waiting == waiting);
+    RC_ASSERT(decoded->AgeMs == age);
+    RC_ASSERT(decoded->Resident == report.Resident);
   }));
   REQUIRE(engine_format::readOrder(engine_format::loadBody("a@1")) == "a@1");
   REQUIRE(engine_format::readOrder(engine_format::unloadBody("a@1")) == "a@1");
 }
 
-TEST_CASE("a completion names its adapter, version and what routing needs",
+TEST_CASE("a completion is parsed for its adapter, version and routing data",
           "[engine]") {
   auto read = readCompletion(
       R"({"model":"oath-fr","prompt":"abcdefgh","stream":true,"x":[1.5]})",
@@ -62,7 +63,7 @@
   REQUIRE(readCompletion(R"({"model":"a@1"})", current)->PrefixHash == 0);
 }
 
-TEST_CASE("a completion that can't be read is an error of its kind",
+TEST_CASE("an invalid completion gives an error of the right kind",
           "[engine]") {
   for (std::string_view text :
        {"", "7", "[]", "{}", "{", R"({"model":7})", R"({"model":""})",
@@ -81,7 +82,8 @@
   REQUIRE_NOTHROW(errorBody("type", "not UTF-8 \xff"));
 }
 
-TEST_CASE("changed bytes give a value or an error, never a crash", "[engine]") {
+TEST_CASE("a body with a changed byte gives a value or an error, never a crash",
+          "[engine]") {
   std::string body =
       R"({"model":"a@1","prompt":["x",{"y":null}],"max_tokens":9})";
   auto report = engine_format::reportBody({"i", 1, 2, {{"a@1", 3}}, 4});
@@ -97,11 +99,12 @@
   }));
 }
 
-TEST_CASE("deep nesting is refused and does not end the process", "[engine]") {
+TEST_CASE("deeply nested JSON is rejected and does not crash the process",
+          "[engine]") {
   constexpr std::size_t Depth = 1000000;
   for (const auto &deep :
-       {repeated("[", Depth) + repeated("]", Depth),
-        repeated("{\"a\":", Depth) + "1" + repeated("}", Depth)}) {
+       {repeat("[", Depth) + repeat("]", Depth),
+        repeat("{\"a\":", Depth) + "1" + repeat("}", Depth)}) {
     for (std::string field : {"prompt", "messages", "other"}) {
       std::string body = R"({"model":"a@1",")";
       body.append(field).append("\":").append(deep).append("}");
@@ -111,7 +114,7 @@
     REQUIRE_FALSE(engine_format::readReport(deep).has_value());
     REQUIRE_FALSE(platform_format::readRows(deep).has_value());
   }
-  auto usual = R"({"model":"a@1","messages":)" + repeated("[", 30) +
-               repeated("]", 30) + "}";
+  auto usual =
+      R"({"model":"a@1","messages":)" + repeat("[", 30) + repeat("]", 30) + "}";
   REQUIRE(readCompletion(usual, current).has_value());
 }
--- a/UnitTests/Protocol/Endpoint/EventSplitterTest.cpp
+++ b/UnitTests/Protocol/Endpoint/EventSplitterTest.cpp
@@ -5,10 +5,11 @@
 
 using namespace hemlockglade;
 
-TEST_CASE("events are passed on whole, however the stream is cut", "[events]") {
+TEST_CASE("only complete events are returned, wherever the stream is split",
+          "[events]") {
   const std::string stream = "id: 1\ndata: {\"a\":1}\n\n: note\n\n"
                              "id: 2\r\ndata: x\r\n\r\ndata: [DONE]\n\n";
-  REQUIRE(rc::check("any cuts", [&stream] {
+  REQUIRE(rc::check("any split", [&stream] {
     EventSplitter splitter;
     std::string passed;
     std::string_view rest = stream;
@@ -25,7 +26,7 @@
   }));
 }
 
-TEST_CASE("an answer is whole if all its choices are finished", "[events]") {
+TEST_CASE("an answer is complete if all its choices are finished", "[events]") {
   CHECK(isWholeCompletion(R"({"choices":[{"finish_reason":"stop"}]})"));
   for (std::string_view body :
        {"", "{", "{}", "[]", R"({"choices":[]})", R"({"choices":[{}]})",
@@ -36,7 +37,8 @@
   }
 }
 
-TEST_CASE("a stream that ends early or goes on is not finished", "[events]") {
+TEST_CASE("a stream that ends early or continues after its end is not finished",
+          "[events]") {
   for (std::string_view stream :
        {"", "data: x\n\n", "data: x\n\ndata: [DONE]", "data: [DONE]\n\ndata: y",
         "data: [DONE]\n\ndata: y\n\n", "data: not data: [DONE]\n\n",
