--- a/Hemlockglade/Protocol/Exchange/RequestIdentity.cpp
+++ b/Hemlockglade/Protocol/Exchange/RequestIdentity.cpp
@@ -8,8 +8,8 @@
   static_assert(RequestKey::Size >= crypto_generichash_BYTES_MIN);
   crypto_generichash_state state;
   crypto_generichash_init(&state, nullptr, 0, RequestKey::Size);
-  // Each part goes in behind its length, so that no two requests give the same
-  // bytes.
+  // Each part is preceded by its length, so that different requests never give
+  // the same bytes.
   for (auto part : {Caller, Method, Host, Target, Body}) {
     std::array<std::uint8_t, sizeof(std::uint64_t)> size{};
     for (std::size_t it = 0; it < size.size(); ++it)
--- a/Hemlockglade/Protocol/Exchange/RequestIdentity.h
+++ b/Hemlockglade/Protocol/Exchange/RequestIdentity.h
@@ -6,9 +6,10 @@
 
 namespace hemlockglade {
 
-/// What makes two sendings the same request.
+/// The parts of a request that identify it: two requests with the same parts
+/// are the same request.
 struct RequestIdentity {
-  /// Whom the request names as its caller; empty if it names nobody.
+  /// The caller that the request names; empty if it names none.
   std::string_view Caller;
   std::string_view Method;
   std::string_view Host;
@@ -16,8 +17,8 @@
   std::string_view Target;
   std::string_view Body;
 
-  /// A cryptographic hash (BLAKE2b), so that nobody can make up a body that
-  /// passes for another caller's request.
+  /// Returns the key of the request: a cryptographic hash (BLAKE2b), so that
+  /// nobody can construct a body that collides with another caller's request.
   RequestKey key() const;
 };
 
--- a/Hemlockglade/Protocol/Exchange/RequestLabels.h
+++ b/Hemlockglade/Protocol/Exchange/RequestLabels.h
@@ -11,79 +11,85 @@
 
 namespace hemlockglade {
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt that other requests may have in common.
 struct PromptPart {
   std::uint64_t Id = 0;
   std::uint32_t Tokens = 0;
 };
 
-/// What a caller's request says about itself beside method, target and body.
+/// Metadata of a caller's request, apart from method, target and body.
 struct RequestLabels {
-  /// Names the request; empty if the caller sent none.
+  /// Id of the request; empty if the caller sent none.
   std::string Id;
-  /// Secret by which the caller shows who it is; empty if it shows none. Never
-  /// logged.
+  /// Secret that authenticates the caller; empty if the request has none. Must
+  /// never be logged.
   std::string Caller;
-  /// How long the caller will wait, if it said so.
+  /// How long the caller will wait, if the request says so.
   std::optional<Span> TimeLeft;
-  /// Weights that it wants, if any.
+  /// Weights that the request needs, if any.
   std::optional<WeightsRef> Weights;
-  /// Whether it tells its tokens; both counts are 0 if it does not.
+  /// Whether the request states its token counts; if not, both are 0.
   bool TellsTokens = false;
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxOutputTokens = 0;
-  /// In order; the last part is the request's own.
+  /// Parts of the prompt, in order; the last part is not shared with other
+  /// requests.
   std::vector<PromptPart> Prompt;
-  /// A stream is to go on behind this event, if the caller resumes one.
+  /// Id of the event after which a stream must continue; empty if the caller
+  /// does not resume one.
   std::string ResumeBehind;
 };
 
-/// What the product adds when it sends a request to a replica.
+/// Metadata that a node adds to a request that it sends to a replica.
 struct ForwardLabels {
   Span TimeLeft{0};
-  /// The replica must be this incarnation.
+  /// Required incarnation of the replica.
   std::string Incarnation;
-  /// 0 is first, 9 last.
+  /// From 0, which is served first, to 9, which is served last.
   std::optional<std::uint32_t> Priority;
-  /// The weights must be of this version.
+  /// Required version of the weights.
   std::optional<std::uint64_t> Version;
-  /// A stream is to go on behind this event.
+  /// Id of the event after which a stream must continue; empty for a stream
+  /// from its start.
   std::string ResumeBehind;
-  /// Name of the caller's workspace; empty on routes that are open to all.
+  /// Name of the caller's workspace; empty on routes that are open to all
+  /// callers.
   std::string Workspace;
 };
 
-/// What an answer of a replica says about itself.
+/// Metadata of a replica's answer, apart from its body.
 struct AnswerLabels {
-  /// Id of the request that it answers; empty if it names none.
+  /// Id of the answered request; empty if the answer has none.
   std::string Id;
-  /// Incarnation that answers, where the answer names it.
+  /// Incarnation of the replica; empty if the answer has none.
   std::string Incarnation;
-  /// It bears the replica's signature.
+  /// The answer has the replica's signature.
   bool Sealed = false;
-  /// The replica says that it did not run the request.
+  /// The replica states that it did not run the request.
   bool NotRun = false;
-  /// Its body was re-encoded, so it isn't the replica's own.
+  /// The body was re-encoded, so that it is not the replica's own.
   bool Encoded = false;
-  /// Its body is a stream of events.
+  /// The body is a stream of events.
   bool Events = false;
 };
 
-/// Fields of a request or an answer, as the transport has them.
+/// Header fields of a request or an answer, as names and values.
 using LabelFields = std::vector<std::pair<std::string_view, std::string_view>>;
 using OwnedFields = std::vector<std::pair<std::string, std::string>>;
 
-/// How requests and answers name these things on the wire.
+/// Reads and writes the metadata of requests and answers as header fields of
+/// the platform.
 struct LabelHooks {
   std::function<RequestLabels(const LabelFields &fields)> ReadRequest;
-  /// The fields that go to a replica: what the caller sent less what only the
-  /// product may set, and what the product sets.
+  /// Returns the fields to send to a replica: those of the caller, without the
+  /// ones that only a node may set, and those set by the node.
   std::function<OwnedFields(const LabelFields &fields,
                             const ForwardLabels &labels)>
       Forward;
   std::function<AnswerLabels(std::uint16_t status, const LabelFields &fields)>
       ReadAnswer;
-  /// Fields of an answer of our own to a request of that id.
+  /// Returns the fields of an answer that the node itself gives to the request
+  /// with that id.
   std::function<OwnedFields(std::string_view requestId)> OwnAnswer;
 };
 
--- a/UnitTests/Protocol/Exchange/RequestIdentityTest.cpp
+++ b/UnitTests/Protocol/Exchange/RequestIdentityTest.cpp
@@ -5,22 +5,22 @@
 
 namespace hemlockglade::test {
 
-TEST_CASE("a request's key depends on each part of its identity",
+TEST_CASE("a request's key depends on every part of its identity",
           "[exchange]") {
   RequestIdentity request{"secret", "POST", "a.example", "/x/1?y=2", "hello"};
   std::set<RequestKey> keys{request.key()};
-  auto but = [&](auto change) {
+  auto addVariant = [&](auto change) {
     auto other = request;
     change(other);
     keys.insert(other.key());
   };
-  but([](auto &it) { it.Caller = "other"; });
-  but([](auto &it) { it.Method = "PUT"; });
-  but([](auto &it) { it.Host = "b.example"; });
-  but([](auto &it) { it.Target = "/x/1?y=3"; });
-  but([](auto &it) { it.Body = "hello!"; });
-  // The same bytes, cut elsewhere.
-  but([](auto &it) {
+  addVariant([](auto &it) { it.Caller = "other"; });
+  addVariant([](auto &it) { it.Method = "PUT"; });
+  addVariant([](auto &it) { it.Host = "b.example"; });
+  addVariant([](auto &it) { it.Target = "/x/1?y=3"; });
+  addVariant([](auto &it) { it.Body = "hello!"; });
+  // The same bytes, divided differently between target and body.
+  addVariant([](auto &it) {
     it.Target = "/x/1?y=2h";
     it.Body = "ello";
   });
@@ -28,7 +28,7 @@
   CHECK(request.key() == RequestIdentity(request).key());
 }
 
-TEST_CASE("a request's key is the same in each process", "[exchange]") {
+TEST_CASE("a request's key is the same in every process", "[exchange]") {
   RequestIdentity request{"", "GET", "a.example", "/x/", ""};
   auto text = request.key().text();
   CHECK(text.size() == 2 * RequestKey::Size);
