--- a/Hemlockglade/Protocol/Platform/PlatformFormat.cpp
+++ b/Hemlockglade/Protocol/Platform/PlatformFormat.cpp
@@ -21,7 +21,8 @@
           node.at("value").get<std::string>()};
 }
 
-/// Parses a body with `read`, turning any fault into a protocol error.
+/// Parses a body and converts it with `read`; any JSON error is returned as a
+/// protocol error.
 template <typename T, typename Read>
 tl::expected<T, ProtocolError> parseBody(std::string_view body, Read read) {
   try {
--- a/Hemlockglade/Protocol/Platform/PlatformFormat.h
+++ b/Hemlockglade/Protocol/Platform/PlatformFormat.h
@@ -5,7 +5,8 @@
 
 namespace hemlockglade {
 
-/// The platform's table service on the wire: JSON over HTTP.
+/// Encodes and decodes messages of the platform's table service, which is JSON
+/// over HTTP:
 ///
 ///   GET  /table/row?key=K       200 {"key","version","value"} or 404
 ///   GET  /table/scan?prefix=P   200 {"rows":[...]}
@@ -14,27 +15,27 @@
 
 /// Body of a commit.
 std::string commitBody(const TableTransaction &transaction);
-/// Reads the body of a commit; for stand-ins.
+/// Parses the body of a commit; used by stand-ins of the platform.
 tl::expected<TableTransaction, ProtocolError> readCommit(std::string_view body);
-/// One row as JSON.
+/// Returns one row as JSON.
 std::string rowBody(const TableRow &row);
 tl::expected<TableRow, ProtocolError> readRow(std::string_view body);
-/// Several rows as JSON.
+/// Returns several rows as JSON.
 std::string rowsBody(const std::vector<TableRow> &rows);
 tl::expected<std::vector<TableRow>, ProtocolError>
 readRows(std::string_view body);
 
 } // namespace platform_format
 
-/// A host or endpoint on the platform's list.
+/// A host or endpoint in the platform's host list.
 struct HostEntry {
   std::string Name;
   std::string Address;
-  /// Whether it is about to go and must get no new work.
+  /// Whether the host is draining and must get no new work.
   bool Leaving = false;
 };
 
-/// The host list on the wire: `{"hosts":[{"name","address","state"}]}`.
+/// Returns the host list as JSON: `{"hosts":[{"name","address","state"}]}`.
 std::string hostListBody(const std::vector<HostEntry> &hosts);
 tl::expected<std::vector<HostEntry>, ProtocolError>
 readHostList(std::string_view body);
--- a/UnitTests/Protocol/Platform/PlatformFormatTest.cpp
+++ b/UnitTests/Protocol/Platform/PlatformFormatTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Text that JSON can carry; what a table holds is UTF-8.
+/// Generates text that JSON can represent; the texts in a table are UTF-8.
 rc::Gen<std::string> anyText() {
   return rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127));
 }
@@ -16,21 +16,23 @@
   return {*anyText(), *rc::gen::arbitrary<std::uint64_t>(), *anyText()};
 }
 
-bool same(const TableRow &a, const TableRow &b) {
+bool isSame(const TableRow &a, const TableRow &b) {
   return a.Key == b.Key && a.Version == b.Version && a.Value == b.Value;
 }
 
 } // namespace
 
-TEST_CASE("rows, commits and host lists come back as they were", "[platform]") {
+TEST_CASE(
+    "rows, commits and host lists that are encoded and decoded are unchanged",
+    "[platform]") {
   REQUIRE(rc::check([] {
     auto row = anyRow();
     RC_ASSERT(
-        same(*platform_format::readRow(platform_format::rowBody(row)), row));
+        isSame(*platform_format::readRow(platform_format::rowBody(row)), row));
     std::vector<TableRow> rows{anyRow(), anyRow()};
-    auto back = platform_format::readRows(platform_format::rowsBody(rows));
-    RC_ASSERT(back->size() == 2U);
-    RC_ASSERT(same(back->at(1), rows[1]));
+    auto decoded = platform_format::readRows(platform_format::rowsBody(rows));
+    RC_ASSERT(decoded->size() == 2U);
+    RC_ASSERT(isSame(decoded->at(1), rows[1]));
     TableTransaction transaction;
     transaction.AttemptId = *anyText();
     transaction.Writes = {{*anyText(), 3, *anyText()},
@@ -53,7 +55,7 @@
   }));
 }
 
-TEST_CASE("a query value comes back as it was, whatever its bytes",
+TEST_CASE("a query value of any bytes that is encoded and decoded is unchanged",
           "[platform]") {
   REQUIRE(rc::check([](const std::string &text, const std::string &other) {
     auto query = "a=" + urlEncode(other) + "&key=" + urlEncode(text) + "&b";
@@ -93,7 +95,7 @@
   }
 }
 
-TEST_CASE("text that is not UTF-8 can be written", "[platform]") {
+TEST_CASE("text that is not UTF-8 can be encoded", "[platform]") {
   std::string bytes = "a\xff\xfe"
                       "b";
   REQUIRE_NOTHROW(platform_format::commitBody({bytes, {{bytes, 1, bytes}}}));
