--- a/Hemlockglade/Protocol/JsonText.cpp
+++ b/Hemlockglade/Protocol/JsonText.cpp
@@ -4,20 +4,20 @@
 
 namespace {
 
-/// Levels of brackets outside of strings.
+/// Returns the maximum nesting depth of brackets outside of strings.
 std::size_t depthOf(std::string_view text) {
   std::size_t depth = 0;
   std::size_t deepest = 0;
   bool quoted = false;
   for (std::size_t it = 0; it < text.size(); ++it) {
-    char sign = text[it];
-    if (sign == '"')
+    char c = text[it];
+    if (c == '"')
       quoted = !quoted;
-    else if (quoted && sign == '\\')
+    else if (quoted && c == '\\')
       ++it;
-    else if (!quoted && (sign == '[' || sign == '{'))
+    else if (!quoted && (c == '[' || c == '{'))
       deepest = std::max(deepest, ++depth);
-    else if (!quoted && (sign == ']' || sign == '}') && depth)
+    else if (!quoted && (c == ']' || c == '}') && depth)
       --depth;
   }
   return deepest;
@@ -26,10 +26,10 @@
 } // namespace
 
 nlohmann::json parseJson(std::string_view text) {
-  constexpr int TooDeep = 501;
+  constexpr int TooDeepErrorId = 501;
   if (depthOf(text) > MaxJsonDepth)
-    throw nlohmann::json::other_error::create(TooDeep, "nested too deeply",
-                                              nullptr);
+    throw nlohmann::json::other_error::create(TooDeepErrorId,
+                                              "nested too deeply", nullptr);
   return nlohmann::json::parse(text);
 }
 
--- a/Hemlockglade/Protocol/JsonText.h
+++ b/Hemlockglade/Protocol/JsonText.h
@@ -7,15 +7,15 @@
 
 namespace hemlockglade {
 
-/// Levels of arrays and objects that a JSON text of others may have. Writing a
-/// value needs stack for each level.
+/// Maximum nesting depth of arrays and objects in a received JSON text. Writing
+/// a value needs stack for each level.
 inline constexpr std::size_t MaxJsonDepth = 100;
 
-/// Parses a JSON text of others. Throws nlohmann::json::exception if it is
+/// Parses a received JSON text. Throws nlohmann::json::exception if it is
 /// malformed or nested too deeply.
 nlohmann::json parseJson(std::string_view text);
 
-/// Writes a value; bytes that are not UTF-8 are replaced by U+FFFD.
+/// Serializes a value; bytes that are not UTF-8 are replaced by U+FFFD.
 std::string writeJson(const nlohmann::json &node);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Protocol/Protocol.h
+++ b/Hemlockglade/Protocol/Protocol.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The public header of the Protocol layer: what goes over the wire.
+// The public header of the Protocol layer: encoding, decoding and validation of
+// messages, settings, declarations, statements and log lines.
 
 #include "Hemlockglade/Protocol/Account/LogAccount.h"
 #include "Hemlockglade/Protocol/Account/LogLine.h"
--- a/Hemlockglade/Protocol/ProtocolError.h
+++ b/Hemlockglade/Protocol/ProtocolError.h
@@ -5,17 +5,17 @@
 
 namespace hemlockglade {
 
-/// What went wrong in the protocol layer.
+/// Kinds of errors of the protocol layer.
 enum class ProtocolErrorKind : std::uint8_t {
   /// The bytes are not a message of the expected kind.
   Malformed,
   /// The message is well formed, but a value is not allowed.
   BadValue,
-  /// The message needs something that does not exist.
+  /// The message refers to something that does not exist.
   Unknown,
 };
 
-/// An error of the protocol layer, with text for people.
+/// An error of the protocol layer, with a readable text.
 struct ProtocolError {
   ProtocolErrorKind Kind = ProtocolErrorKind::Malformed;
   std::string Text;
--- a/UnitTests/Protocol/ExampleFile.h
+++ b/UnitTests/Protocol/ExampleFile.h
@@ -7,7 +7,8 @@
 
 namespace hemlockglade {
 
-/// Text of a file in the folder `examples`; empty if there is none.
+/// Returns the text of a file in the folder `examples`; empty if there is no
+/// such file.
 inline std::string exampleFile(const std::string &name) {
   auto root =
       std::filesystem::path(__FILE__).parent_path().parent_path().parent_path();
