--- a/UnitTests/Platform/DocumentsTest.cpp
+++ b/UnitTests/Platform/DocumentsTest.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a plan is read", "[documents]") {
+TEST_CASE("a plan is parsed", "[documents]") {
   auto plan = readPlan(Plan);
   REQUIRE(plan);
   CHECK(plan->version() == 7);
@@ -61,7 +61,7 @@
   CHECK(plan->limits().IdleTimeout == milliseconds(15000));
 }
 
-TEST_CASE("a plan that is wrong is refused with what is wrong", "[documents]") {
+TEST_CASE("a malformed plan is refused with an error text", "[documents]") {
   auto text = GENERATE(
       as<std::string>{}, "", "[]", "{}", R"({"version":"x","routes":[]})",
       R"({"version":1,"routes":[{"host":"a"}],"services":[]})",
@@ -76,7 +76,7 @@
 
 namespace {
 
-/// A plan with one route and this list of workspaces.
+/// Returns a plan with one route and this list of workspaces.
 std::string planWith(const std::string &workspaces) {
   return R"({"version":1,"services":[],"routes":[{"host":"a","prefix":"/",)"
          R"("service":"s","public":true}],"tenants":)" +
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("a plan's workspaces are read", "[documents]") {
+TEST_CASE("the workspaces of a plan are parsed", "[documents]") {
   auto plan = readPlan(planWith(
       R"([{"name":"red","api_keys":["k1","k2"],"priority":1,"unit":"token",)"
       R"("plain_tokens":200,"rate_per_s":187347,"burst":5.5},)"
@@ -109,8 +109,7 @@
   CHECK_FALSE(readPlan(Plan)->workspaces().required());
 }
 
-TEST_CASE("what is wrong with a workspace takes nothing of the others",
-          "[documents]") {
+TEST_CASE("a malformed workspace does not affect the others", "[documents]") {
   struct Wrong {
     std::string Text;
     bool HasKey;
@@ -155,25 +154,26 @@
   CHECK_FALSE(all.Faults.empty());
 }
 
-TEST_CASE("a plan that is no JSON is refused without a word of it",
+TEST_CASE("the error for a plan that is not JSON does not quote it",
           "[documents]") {
   auto plan = readPlan(
       R"({"tenants":[{"name":"red","api_keys":["sekret-1" "sekret-2"]}]})");
   REQUIRE_FALSE(plan);
   CHECK(plan.error().find("sekret") == std::string::npos);
-  // Nor one whose workspaces are no list.
+  // The same holds for a plan whose workspaces are not a list.
   auto list = readPlan(planWith(R"({"red":"sekret-1"})"));
   REQUIRE_FALSE(list);
   CHECK(list.error().find("sekret") == std::string::npos);
 }
 
-TEST_CASE("no text of workspaces breaks the reader or shows a key",
-          "[documents]") {
-  const std::string Good = planWith(
+TEST_CASE(
+    "no damage to workspaces breaks the reader or puts a key into an error",
+    "[documents]") {
+  const std::string ValidPlan = planWith(
       R"([{"name":"red","api_keys":["sekret-1","sekret-2"],"priority":1,)"
       R"("unit":"token","plain_tokens":200,"rate_per_s":9,"burst":9}])");
-  bool passed = rc::check("any damage to a plan", [&Good] {
-    auto text = Good;
+  bool passed = rc::check("any damage to a plan", [&ValidPlan] {
+    auto text = ValidPlan;
     auto changes = *rc::gen::inRange(1, 8);
     for (int it = 0; it < changes; ++it) {
       auto at = static_cast<std::size_t>(
@@ -195,7 +195,7 @@
   CHECK(passed);
 }
 
-TEST_CASE("a replica's entry is read", "[documents]") {
+TEST_CASE("a replica's entry is parsed", "[documents]") {
   auto replica = readReplica(
       "i-1",
       R"({"service":"s1","address":"10.0.0.1:80","zone":"hall-a",)"
@@ -212,7 +212,7 @@
   CHECK_FALSE(readReplica("i-1", R"({"service":"s1"})"));
 }
 
-TEST_CASE("a report and a version are read", "[documents]") {
+TEST_CASE("a report and a version are parsed", "[documents]") {
   auto report = readReport(
       R"({"stage":"combined","models":[{"name":"m","version":1,)"
       R"("adapters":["a1@1"]}],"pending":["m/a7@2","odd"],"busy":true,)"
@@ -232,7 +232,7 @@
   CHECK_FALSE(readVersion(R"({"model":"m"})"));
 }
 
-TEST_CASE("an order is written", "[documents]") {
+TEST_CASE("an order is encoded", "[documents]") {
   EngineOrder order;
   order.Kind = OrderKind::Load;
   order.Weights = {"m", "a1"};
@@ -253,13 +253,14 @@
   CHECK_FALSE(node.contains("version"));
 }
 
-TEST_CASE("addresses are written", "[documents]") {
+TEST_CASE("an address answer is encoded", "[documents]") {
   auto node = parseJson(writeAddresses({"10.0.0.1:8"}, milliseconds(1500)));
   CHECK(node["addresses"][0] == "10.0.0.1:8");
   CHECK(node["ttl_s"] == 1.5);
 }
 
-TEST_CASE("any text is read or refused", "[documents]") {
+TEST_CASE("arbitrary text is parsed or refused without an exception",
+          "[documents]") {
   REQUIRE(rc::check([] {
     auto text = *rc::gen::arbitrary<std::string>();
     readPlan(text);
@@ -276,7 +277,7 @@
   }));
 }
 
-TEST_CASE("base64 is written and read", "[documents]") {
+TEST_CASE("base64 is encoded and decoded", "[documents]") {
   CHECK(toBase64("").empty());
   CHECK(toBase64("node-1") == "bm9kZS0x");
   CHECK(toBase64("a") == "YQ==");
@@ -297,7 +298,7 @@
     R"("models":[{"name":"m","version":2,"adapters":["a1@3"]}],)"
     R"("available":{"resident":[],"cached_on_disk":["m"]}})";
 
-/// The entry with one field replaced, or left out if there is no value.
+/// Returns the entry with one field replaced, or removed if `value` is empty.
 std::string withField(const std::string &field, const std::string &value) {
   auto node = parseJson(Entry);
   if (value.empty())
@@ -309,7 +310,8 @@
 
 } // namespace
 
-TEST_CASE("a replica's life is its id and its start", "[documents][life]") {
+TEST_CASE("an incarnation is identified by the replica's id and start time",
+          "[documents][life]") {
   auto replica = readReplica("i-1", Entry);
   REQUIRE(replica);
   CHECK(replica->Incarnation == ReplicaIncarnation("i-1", 1733184000123));
@@ -320,7 +322,7 @@
   CHECK(report->StartedAtMs == 17);
 }
 
-TEST_CASE("an entry that no replica wrote names no replica",
+TEST_CASE("an entry that does not describe a replica is refused",
           "[documents][foreign]") {
   auto text = GENERATE(
       as<std::string>{}, "", "null", "7", "[]", "{}", "\xff\xfe",
@@ -346,14 +348,13 @@
   CHECK_FALSE(replica.error().empty());
 }
 
-TEST_CASE("a key that is no name names no replica", "[documents][foreign]") {
+TEST_CASE("an entry under a malformed key is refused", "[documents][foreign]") {
   auto key = GENERATE(as<std::string>{}, "", "a b", "a\r\nX: 1", "\xc3\xa4",
                       std::string(201, 'x'));
   CHECK_FALSE(readReplica(key, Entry));
 }
 
-TEST_CASE("no bytes make the reading of documents fail otherwise than by an "
-          "error",
+TEST_CASE("damaged documents are parsed or refused without an exception",
           "[documents][fuzz]") {
   const std::string Report =
       R"({"stage":"combined","models":[{"name":"m","version":1,"adapters":)"
@@ -361,7 +362,7 @@
       R"(["m"],"cached_on_disk":["m"]},"sequence":9,"born":5})";
   const std::string Version = R"({"model":"m","adapter":"a1","version":4})";
   const std::vector<std::string> texts{Plan, Entry, Report, Version};
-  bool held = rc::check([&texts] {
+  bool passed = rc::check([&texts] {
     auto text = texts[*rc::gen::inRange<std::size_t>(0, texts.size())];
     auto changes = *rc::gen::inRange(1, 6);
     for (int it = 0; it < changes && !text.empty(); ++it) {
@@ -388,7 +389,7 @@
     static_cast<void>(readReport(text));
     static_cast<void>(readVersion(text));
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Platform/HeadersTest.cpp
+++ b/UnitTests/Platform/HeadersTest.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a request's labels are read", "[headers]") {
+TEST_CASE("the labels of a request are parsed", "[headers]") {
   auto labels = platformLabels().ReadRequest(
       {{"x-attempt-id", "id-1"},
        {"X-Deadline-Ms", "1500"},
@@ -37,7 +37,7 @@
   CHECK(labels.Caller == "secret");
 }
 
-TEST_CASE("labels that are missing or wrong are left out", "[headers]") {
+TEST_CASE("missing or malformed labels are ignored", "[headers]") {
   auto labels = platformLabels().ReadRequest(
       {{"X-Deadline-Ms", "soon"},
        {"X-Token-Count", "many"},
@@ -54,7 +54,8 @@
             .TimeLeft == std::chrono::hours(24));
 }
 
-TEST_CASE("what only the product may set is replaced or dropped", "[headers]") {
+TEST_CASE("fields that only the product may set are replaced or dropped",
+          "[headers]") {
   ForwardLabels labels;
   labels.TimeLeft = std::chrono::milliseconds(900);
   labels.Incarnation = "i-1";
@@ -88,25 +89,26 @@
     CHECK(valueOf(out, name).empty());
 }
 
-TEST_CASE("a caller's key and workspace are never passed on", "[headers]") {
+TEST_CASE("the key and workspace fields of a caller are never forwarded",
+          "[headers]") {
   ForwardLabels labels;
   LabelFields sent{{"x-key", "secret"},
                    {"X-Key", "second"},
                    {"x-tenant", "forged"},
                    {"X-Tenant", "forged again"}};
-  auto open = platformLabels().Forward(sent, labels);
+  auto withoutWorkspace = platformLabels().Forward(sent, labels);
   for (const auto *name : {"x-key", "X-Key", "x-tenant", "X-Tenant"})
-    CHECK(valueOf(open, name).empty());
+    CHECK(valueOf(withoutWorkspace, name).empty());
   labels.Workspace = "red";
   auto out = platformLabels().Forward(sent, labels);
   CHECK(valueOf(out, "X-Tenant") == "red");
   CHECK(valueOf(out, "x-tenant").empty());
   CHECK(valueOf(out, "X-Key").empty());
-  // Which of two keys counts is nobody's guess.
+  // With two keys it would be undefined which one counts; so none does.
   CHECK(platformLabels().ReadRequest(sent).Caller.empty());
 }
 
-TEST_CASE("whether a request tells its tokens is read", "[headers]") {
+TEST_CASE("a request without a valid token count is recognized", "[headers]") {
   auto read = platformLabels().ReadRequest;
   CHECK(read({{"X-Token-Count", "0,80"}}).TellsTokens);
   CHECK(read({{"X-Token-Count", "14"}}).TellsTokens);
@@ -114,7 +116,8 @@
   CHECK_FALSE(read({}).TellsTokens);
 }
 
-TEST_CASE("a stream goes on behind the last event passed on", "[headers]") {
+TEST_CASE("a resumed stream asks for events after the last forwarded one",
+          "[headers]") {
   ForwardLabels labels;
   LabelFields sent{{"Last-Event-Id", "5"}};
   CHECK(valueOf(platformLabels().Forward(sent, labels), "Last-Event-Id") ==
@@ -124,7 +127,7 @@
         "9");
 }
 
-TEST_CASE("an answer's labels are read", "[headers]") {
+TEST_CASE("the labels of an answer are parsed", "[headers]") {
   auto read = platformLabels().ReadAnswer;
   auto good = read(200, {{"X-Attempt-Id", "id-1"},
                          {"X-Response-Seal", "s"},
--- a/UnitTests/Platform/StoreTest.cpp
+++ b/UnitTests/Platform/StoreTest.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// A store, or an engine, that answers as the test says.
+/// A server in the place of the store or of an engine that sends the answers
+/// that the test sets, and clients of it.
 struct StoreFixture : Loopback {
   StoreFixture()
       : Log(
@@ -21,8 +22,8 @@
     hooks.Closing = [] { return false; };
     hooks.OnRequest = [this](const CallerRequest &request, auto reply) {
       Calls.push_back(request);
-      if (Silent) {
-        Held.push_back(std::move(reply));
+      if (IsSilent) {
+        PendingReplies.push_back(std::move(reply));
         return;
       }
       auto answer = Answers.empty() ? Answer : Answers.front();
@@ -37,13 +38,14 @@
                                             std::move(hooks));
     PlatformStore::Settings settings;
     settings.Address = localhost(Server->port());
-    // Only a call that nobody answers is to reach its time-out.
+    // Long timeouts, so that only calls of the tests without an answer, which
+    // use the other client, reach theirs.
     settings.CallTimeout = std::chrono::seconds(20);
     settings.EngineTimeout = std::chrono::seconds(20);
     Store = std::make_unique<PlatformStore>(Context, settings, Log);
     settings.CallTimeout = std::chrono::milliseconds(50);
     settings.EngineTimeout = std::chrono::milliseconds(50);
-    Hasty = std::make_unique<PlatformStore>(Context, settings, Log);
+    ShortTimeoutStore = std::make_unique<PlatformStore>(Context, settings, Log);
   }
 
   template <typename T> T wait(std::optional<T> &result) {
@@ -51,8 +53,8 @@
     return std::move(*result);
   }
 
-  /// The client to use: the hasty one where nobody answers.
-  PlatformStore &client() { return Silent ? *Hasty : *Store; }
+  /// Returns the client with short timeouts if the server sends no answers.
+  PlatformStore &client() { return IsSilent ? *ShortTimeoutStore : *Store; }
 
   tl::expected<std::uint64_t, TableError> commit(std::uint64_t expected = 4) {
     std::optional<tl::expected<std::uint64_t, TableError>> result;
@@ -61,7 +63,8 @@
     return wait(result);
   }
 
-  /// The version of a row that the store has at its version 5.
+  /// Returns the version that the client gives a row which the store of this
+  /// era sends with version 5.
   tl::expected<std::uint64_t, TableError> versionIn(const std::string &era) {
     Era = era;
     Answer = {200, R"({"rows":[{"key":"k","ver":5,"value":"dg=="}],"ver":7})"};
@@ -102,12 +105,12 @@
   std::vector<CallerRequest> Calls;
   std::pair<std::uint16_t, std::string> Answer{200, "{}"};
   std::vector<std::pair<std::uint16_t, std::string>> Answers;
-  std::vector<std::shared_ptr<CallerReply>> Held;
-  bool Silent = false;
+  std::vector<std::shared_ptr<CallerReply>> PendingReplies;
+  bool IsSilent = false;
   std::string Era;
   std::unique_ptr<CallerServer> Server;
   std::unique_ptr<PlatformStore> Store;
-  std::unique_ptr<PlatformStore> Hasty;
+  std::unique_ptr<PlatformStore> ShortTimeoutStore;
 };
 
 std::string row(const std::string &key, const std::string &value) {
@@ -117,7 +120,7 @@
 
 } // namespace
 
-TEST_CASE("a commit is one conditional change", "[store]") {
+TEST_CASE("a commit is sent as one conditional change", "[store]") {
   StoreFixture it;
   it.Answer = {200, R"({"ver":412,"now_ms":1})"};
   CHECK(it.commit() == 412);
@@ -129,33 +132,34 @@
   CHECK(body["put"][0]["value"] == "dg==");
 }
 
-TEST_CASE("what is known of a commit follows from its answer", "[store]") {
+TEST_CASE("the result of a commit follows from the status of its answer",
+          "[store]") {
   StoreFixture it;
-  SECTION("a conflict changed nothing") {
+  SECTION("a failed condition is a conflict") {
     it.Answer = {412, "{}"};
     CHECK(it.commit().error() == TableError::Conflict);
   }
-  SECTION("neither did a call that was turned away") {
+  SECTION("a refused call is not sent") {
     it.Answer = {503, ""};
     CHECK(it.commit().error() == TableError::NotSent);
     it.Answer = {429, ""};
     CHECK(it.commit().error() == TableError::NotSent);
   }
-  SECTION("any other answer leaves it open") {
+  SECTION("any other answer is ambiguous") {
     it.Answer = {500, ""};
     CHECK(it.commit().error() == TableError::Ambiguous);
   }
-  SECTION("so does none") {
-    it.Silent = true;
+  SECTION("a missing answer is ambiguous") {
+    it.IsSilent = true;
     CHECK(it.commit().error() == TableError::Ambiguous);
   }
-  SECTION("an answer that does not tell the version makes it 0") {
+  SECTION("an answer without a version gives version 0") {
     it.Answer = {200, "what"};
     CHECK(it.commit() == 0);
   }
 }
 
-TEST_CASE("a table of several pages is read whole", "[store]") {
+TEST_CASE("all pages of a table are read", "[store]") {
   StoreFixture it;
   it.Answers = {{200, R"({"rows":[)" + row("lease/a", "1") +
                           R"(],"has_more":true,"ver":7,"now_ms":1})"},
@@ -172,7 +176,7 @@
   CHECK(queryValue(queryOf(it.Calls[1].Head.Target), "from") == "lease/a\x01");
 }
 
-TEST_CASE("operators' rows become a plan and versions", "[store]") {
+TEST_CASE("rows of operators are parsed into a plan and versions", "[store]") {
   StoreFixture it;
   auto plan = R"({"version":3,"routes":[],"services":[]})";
   it.Answer = {200, R"({"rows":[)" + row("config", plan) + "," +
@@ -189,11 +193,11 @@
   CHECK(changes->Plan->version() == 3);
   CHECK(changes->Versions.size() == 1);
   CHECK(changes->Position == 9);
-  // What could not be read is told, and the rest is not lost.
+  // The unreadable row is logged, and the others are kept.
   CHECK(it.Lines.size() == 1);
 }
 
-TEST_CASE("the feed tells what came and what went", "[store]") {
+TEST_CASE("a poll returns present and removed replicas", "[store]") {
   StoreFixture it;
   it.Answer = {200, R"({"rows":[)" +
                         row("i-1", R"({"service":"s","address":"1.2.3.4:5",)"
@@ -210,7 +214,8 @@
         "/hemlockglade/rows-feed?table=servers&after=5&wait_ms=0");
 }
 
-TEST_CASE("a feed whose history is gone says so", "[store]") {
+TEST_CASE("a poll from before the kept history returns HistoryGone",
+          "[store]") {
   StoreFixture it;
   it.Answer = {410, ""};
   std::optional<tl::expected<ReplicaChanges, RegistryError>> result;
@@ -218,7 +223,8 @@
   CHECK(it.wait(result).error() == RegistryError::HistoryGone);
 }
 
-TEST_CASE("versions rise though the store gives its own out again", "[store]") {
+TEST_CASE("versions increase after the store reuses its own in a new era",
+          "[store]") {
   StoreFixture it;
   auto before = it.versionIn("3");
   REQUIRE(before);
@@ -227,36 +233,36 @@
   REQUIRE(after);
   CHECK(*after == *before + 1);
   CHECK(parseJson(it.Calls.back().Body)["if_revision"][0]["ver"] == 5);
-  auto again = it.versionIn("4");
-  REQUIRE(again);
-  CHECK(*again > *after);
+  auto afterRollback = it.versionIn("4");
+  REQUIRE(afterRollback);
+  CHECK(*afterRollback > *after);
 }
 
-TEST_CASE("a version of an earlier era is no condition for a change",
+TEST_CASE("a commit with a version of an earlier era does not succeed",
           "[store]") {
   StoreFixture it;
   auto before = it.versionIn("3");
-  SECTION("the new era is known: nothing is sent") {
+  SECTION("with the new era known, nothing is sent") {
     REQUIRE(it.versionIn("4"));
     auto calls = it.Calls.size();
     CHECK(it.commit(*before).error() == TableError::Conflict);
     CHECK(it.Calls.size() == calls);
   }
-  SECTION("the answer tells it: the change may have met another row") {
+  SECTION("with the new era in the answer, the result is ambiguous") {
     it.Era = "4";
     it.Answer = {200, R"({"ver":6})"};
     CHECK(it.commit(*before).error() == TableError::Ambiguous);
   }
 }
 
-TEST_CASE("an answer of an earlier era counts for nothing", "[store]") {
+TEST_CASE("an answer of an earlier era is refused", "[store]") {
   StoreFixture it;
   REQUIRE(it.versionIn("4"));
   CHECK_FALSE(it.versionIn("3"));
   CHECK(it.Store->era() == 4);
 }
 
-TEST_CASE("everything is read anew when the store has stepped back",
+TEST_CASE("all replicas are read again after a rollback of the store",
           "[store]") {
   StoreFixture it;
   it.Era = "3";
@@ -277,7 +283,8 @@
   CHECK_FALSE(it.readReplicas()->RolledBack);
 }
 
-TEST_CASE("an engine's answer to an order is told apart", "[store]") {
+TEST_CASE("the status of an engine's answer gives the result of an order",
+          "[store]") {
   StoreFixture it;
   auto [status, answer] =
       GENERATE(table<int, OrderAnswer>({{202, OrderAnswer::Accepted},
@@ -292,24 +299,24 @@
   CHECK(*findField(it.Calls[0].Head.Fields, "X-Expect-Instance") == "i-1");
 }
 
-TEST_CASE("an order without an answer is open", "[store]") {
+TEST_CASE("an order without an answer has an unknown result", "[store]") {
   StoreFixture it;
-  it.Silent = true;
+  it.IsSilent = true;
   CHECK(it.order() == OrderAnswer::Unknown);
 }
 
-TEST_CASE("entries that something else wrote harm no others and are told once",
+TEST_CASE("unreadable entries do not affect others and are logged once",
           "[store][foreign]") {
   StoreFixture it;
-  const std::string good =
+  const std::string valid =
       R"({"service":"s","address":"1.2.3.4:5","zone":"z","slots":4,)"
       R"("state":"ready"})";
   it.Answer = {200, R"({"rows":[)" + row("i-0", "not JSON") + "," +
-                        row("i-1", good) + "," + row("i-2", "{}") +
+                        row("i-1", valid) + "," + row("i-2", "{}") +
                         R"(,{"key":"i-3","ver":6,"value":"***"},)" +
                         R"({"key":"i-4","ver":6,"value":7},)" +
-                        row("i-5", good) + R"(],"ver":6,"has_more":false})"};
-  for (int look = 0; look < 3; ++look) {
+                        row("i-5", valid) + R"(],"ver":6,"has_more":false})"};
+  for (int round = 0; round < 3; ++round) {
     std::optional<tl::expected<ReplicaChanges, RegistryError>> result;
     it.Store->registry().ReadReplicas([&](auto got) { result = got; });
     auto changes = it.wait(result);
@@ -322,13 +329,13 @@
   CHECK(it.Lines.size() == 4);
 }
 
-TEST_CASE("of several changes of an entry the last one holds", "[store]") {
+TEST_CASE("of several changes of an entry the last one counts", "[store]") {
   StoreFixture it;
-  const std::string good =
+  const std::string valid =
       R"({"service":"s","address":"1.2.3.4:5","zone":"z","slots":4,)"
       R"("state":"ready"})";
   it.Answer = {200, R"({"rows":[{"key":"i-1","ver":5,"deleted":true},)" +
-                        row("i-1", good) + "," + row("i-2", good) +
+                        row("i-1", valid) + "," + row("i-2", valid) +
                         R"(,{"key":"i-2","ver":7,"deleted":true}],"ver":7})"};
   std::optional<tl::expected<ReplicaChanges, RegistryError>> result;
   it.Store->registry().WatchReplicas(4, [&](auto got) { result = got; });
