--- a/Hemlockglade/State/Log/EventLog.cpp
+++ b/Hemlockglade/State/Log/EventLog.cpp
@@ -10,11 +10,10 @@
 
 namespace {
 
-/// Bytes that wait for a reader that is slow; at 200 bytes a line some 1,300
-/// lines.
-constexpr std::size_t MaxWaiting = std::size_t{256} * 1024;
+/// Bytes buffered for a slow reader: about 1,300 lines of 200 bytes.
+constexpr std::size_t MaxBufferedBytes = std::size_t{256} * 1024;
 
-/// Whether a text stands in JSON as it is.
+/// Returns whether a text needs no escaping in JSON.
 bool isPlain(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char it) {
     constexpr char FirstPrintable = ' ';
@@ -35,10 +34,10 @@
 void appendValue(std::string &out, const LogField::Value &value) {
   std::visit(
       [&out](const auto &it) {
-        using Kind = std::decay_t<decltype(it)>;
-        if constexpr (std::is_same_v<Kind, std::string_view>)
+        using FieldType = std::decay_t<decltype(it)>;
+        if constexpr (std::is_same_v<FieldType, std::string_view>)
           appendText(out, it);
-        else if constexpr (std::is_same_v<Kind, bool>)
+        else if constexpr (std::is_same_v<FieldType, bool>)
           out.append(it ? "true" : "false");
         else
           out.append(nlohmann::json(it).dump());
@@ -49,20 +48,22 @@
 } // namespace
 
 EventLog::EventLog(Settings settings, Sink sink, Clock clock)
-    : Setup(std::move(settings)), Out(std::move(sink)), Now(std::move(clock)) {}
+    : Options(std::move(settings)), Output(std::move(sink)),
+      Now(std::move(clock)) {}
 
 bool EventLog::admit(LogClass kind) {
   auto second = std::chrono::duration_cast<std::chrono::seconds>(Now()).count();
-  if (second != Second) {
-    Second = second;
-    Lines[0] = Lines[1] = 0;
-    if (auto n = std::exchange(LeftOut, 0))
-      put("log-left-out", {{"lines", n}});
+  if (second != CurrentSecond) {
+    CurrentSecond = second;
+    LineCounts[0] = LineCounts[1] = 0;
+    if (auto n = std::exchange(UnreportedDrops, 0))
+      writeLine("log-left-out", {{"lines", n}});
   }
-  auto &lines = Lines[static_cast<std::size_t>(kind)];
-  auto bound = kind == LogClass::State ? Setup.StateLines : Setup.RequestLines;
-  if (lines >= bound) {
-    ++LeftOut;
+  auto &lines = LineCounts[static_cast<std::size_t>(kind)];
+  auto limit =
+      kind == LogClass::State ? Options.StateLines : Options.RequestLines;
+  if (lines >= limit) {
+    ++UnreportedDrops;
     ++Dropped;
     return false;
   }
@@ -73,15 +74,15 @@
 void EventLog::write(LogClass kind, std::string_view event,
                      std::initializer_list<LogField> fields) {
   if (admit(kind))
-    put(event, fields);
+    writeLine(event, fields);
 }
 
-void EventLog::put(std::string_view event,
-                   std::initializer_list<LogField> fields) {
+void EventLog::writeLine(std::string_view event,
+                         std::initializer_list<LogField> fields) {
   std::string line = "{\"at_ms\":";
   constexpr std::int64_t UsPerMs = 1000;
   line.append(std::to_string(Now().count() / UsPerMs)).append(",\"node\":");
-  appendText(line, Setup.Node);
+  appendText(line, Options.Node);
   line.append(",\"event\":");
   appendText(line, event);
   for (const auto &it : fields) {
@@ -91,19 +92,19 @@
     appendValue(line, it.Content);
   }
   line.append("}\n");
-  Out(line);
+  Output(line);
 }
 
 EventLog::Sink descriptorSink(int descriptor) {
   ::fcntl(descriptor, F_SETFL, ::fcntl(descriptor, F_GETFL) | O_NONBLOCK);
-  auto waiting = std::make_shared<std::string>();
-  return [descriptor, waiting](std::string_view line) {
-    if (waiting->size() + line.size() > MaxWaiting)
+  auto buffered = std::make_shared<std::string>();
+  return [descriptor, buffered](std::string_view line) {
+    if (buffered->size() + line.size() > MaxBufferedBytes)
       return;
-    waiting->append(line);
-    auto n = ::write(descriptor, waiting->data(), waiting->size());
+    buffered->append(line);
+    auto n = ::write(descriptor, buffered->data(), buffered->size());
     if (n > 0)
-      waiting->erase(0, static_cast<std::size_t>(n));
+      buffered->erase(0, static_cast<std::size_t>(n));
   };
 }
 
--- a/Hemlockglade/State/Log/EventLog.h
+++ b/Hemlockglade/State/Log/EventLog.h
@@ -10,7 +10,7 @@
 
 namespace hemlockglade {
 
-/// One named value of a log line.
+/// Name and value of one field of a log line.
 struct LogField {
   using Value =
       std::variant<std::int64_t, std::uint64_t, double, bool, std::string_view>;
@@ -34,31 +34,35 @@
       : Name(name), Content(std::uint64_t{value}) {}
   LogField(std::string_view name, std::uint64_t value)
       : Name(name), Content(value) {}
-  /// Spans are written in milliseconds.
+  /// Durations are written in milliseconds.
   LogField(std::string_view name, std::chrono::microseconds value)
       : Name(name), Content(static_cast<double>(value.count()) / 1000) {}
 };
 
-/// How much a line matters when there are too many.
+/// Class of a line. Each class has a limit of its own, so that many lines of
+/// one class do not suppress those of the other.
 enum class LogClass : std::uint8_t {
-  /// Starts, stops, lost and regained dependencies, changes of belief.
+  /// Starts, stops, lost and regained dependencies, and changes of the
+  /// state that the node keeps of others.
   State,
-  /// One decision about one request.
+  /// A decision about one request.
   Request,
 };
 
-/// Writes one JSON object a line. The volume is bounded: lines of one second
-/// beyond the bound are left out, and a line says how many.
+/// Writes log lines, each one JSON object. The volume is limited: the lines of
+/// one second beyond the limit of their class are dropped, and a later line
+/// reports how many.
 class EventLog {
 public:
   using Sink = std::function<void(std::string_view line)>;
-  /// Microseconds on the process's own clock, and the time of day.
+  /// Returns the current time in microseconds. It stamps the lines and tells
+  /// one second of the limits from the next.
   using Clock = std::function<std::chrono::microseconds()>;
 
   struct Settings {
     std::string Node;
-    /// Lines a second of each class; a node that serves 100 requests/s writes
-    /// about two lines for each.
+    /// Maximum lines per second of each class; a node that serves 100
+    /// requests/s writes about two lines for each.
     std::uint32_t RequestLines = 300;
     std::uint32_t StateLines = 200;
   };
@@ -67,23 +71,27 @@
 
   void write(LogClass kind, std::string_view event,
              std::initializer_list<LogField> fields);
+  /// Number of lines dropped since the start.
   std::uint64_t dropped() const { return Dropped; }
 
 private:
+  /// Counts a line of this class; returns false if it is over the limit.
   bool admit(LogClass kind);
-  void put(std::string_view event, std::initializer_list<LogField> fields);
+  void writeLine(std::string_view event,
+                 std::initializer_list<LogField> fields);
 
-  Settings Setup;
-  Sink Out;
+  Settings Options;
+  Sink Output;
   Clock Now;
-  std::int64_t Second = -1;
-  std::uint32_t Lines[2] = {0, 0};
-  std::uint64_t LeftOut = 0;
+  std::int64_t CurrentSecond = -1;
+  std::uint32_t LineCounts[2] = {0, 0};
+  std::uint64_t UnreportedDrops = 0;
   std::uint64_t Dropped = 0;
 };
 
-/// A sink on a descriptor that never blocks: what the reader does not take in
-/// time is kept up to a bound and dropped beyond it.
+/// Returns a sink that writes to a descriptor and never blocks. Lines that the
+/// reader does not take at once are buffered up to a limit and dropped beyond
+/// it.
 EventLog::Sink descriptorSink(int descriptor);
 
 } // namespace hemlockglade
--- a/Hemlockglade/State/Metrics/Counter.h
+++ b/Hemlockglade/State/Metrics/Counter.h
@@ -5,7 +5,7 @@
 
 namespace hemlockglade {
 
-/// A number that only rises. Safe to use from any thread.
+/// A number that only increases. Safe to use from any thread.
 class Counter {
 public:
   void add(std::uint64_t n = 1) {
--- a/Hemlockglade/State/Metrics/Distribution.cpp
+++ b/Hemlockglade/State/Metrics/Distribution.cpp
@@ -17,8 +17,9 @@
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::mean,
                                             acc::tag::extended_p_square>>;
 
-/// So many samples are told exactly. The estimator places its markers on the
-/// first few samples and needs a good many more before they stand right.
+/// Quantiles of up to this many samples are exact. The estimator places its
+/// markers on the first few samples, and its estimates are inaccurate until it
+/// has seen many more.
 constexpr std::size_t ExactSamples = 256;
 
 Accumulator newAccumulator() {
@@ -26,15 +27,16 @@
                          DistributionQuantiles);
 }
 
-/// Estimates over a run of samples; exact for the first few.
+/// Estimates mean and quantiles of a run of samples. Quantiles are exact for up
+/// to `ExactSamples`.
 class SampleRun {
 public:
   SampleRun() : Estimator(newAccumulator()) {}
 
   void record(double sample) {
     auto n = acc::count(Estimator);
-    if (n < First.size())
-      First[n] = sample;
+    if (n < FirstSamples.size())
+      FirstSamples[n] = sample;
     Estimator(sample);
   }
 
@@ -49,19 +51,19 @@
   }
 
 private:
-  double exactQuantile(double share) const {
+  double exactQuantile(double fraction) const {
     auto n = count();
     if (n == 0)
       return std::numeric_limits<double>::quiet_NaN();
-    auto sorted = First;
+    auto sorted = FirstSamples;
     std::sort(sorted.begin(), sorted.begin() + n);
     auto rank =
-        static_cast<std::size_t>(std::ceil(share * static_cast<double>(n)));
+        static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(n)));
     return sorted[std::max<std::size_t>(rank, 1) - 1];
   }
 
   Accumulator Estimator;
-  std::array<double, ExactSamples> First{};
+  std::array<double, ExactSamples> FirstSamples{};
 };
 
 } // namespace
@@ -70,11 +72,12 @@
   mutable std::mutex Mutex;
   std::uint64_t Count = 0;
   double Sum = 0;
-  /// Two runs that both take each sample, the older one `Window` ahead. When
-  /// it is full it is emptied and becomes the younger, so that what is told
-  /// always rests on at least `Window` samples, once there were as many.
+  /// Two runs that both record each sample; the older one is `Window` samples
+  /// ahead. At twice `Window` samples the older one is emptied and becomes the
+  /// younger, so that a summary always covers at least `Window` samples, once
+  /// there have been as many.
   std::array<SampleRun, 2> Runs;
-  /// Which of the runs is the older one.
+  /// Index of the older run.
   std::size_t OlderIndex = 0;
   /// Copied over a run to empty it without allocating.
   inline static const SampleRun Empty;
--- a/Hemlockglade/State/Metrics/Distribution.h
+++ b/Hemlockglade/State/Metrics/Distribution.h
@@ -6,25 +6,25 @@
 
 namespace hemlockglade {
 
-/// The quantiles that a distribution tells.
+/// The quantiles that a distribution estimates.
 inline constexpr std::array DistributionQuantiles = {0.5, 0.95, 0.99};
 
-/// What a distribution tells of its samples.
+/// Count, sum, mean and quantiles of a distribution's samples.
 struct DistributionSummary {
-  /// All samples since the start.
+  /// Number and sum of all samples since the start.
   std::uint64_t Count = 0;
   double Sum = 0;
-  /// Mean of the recent samples.
+  /// Mean of the recent samples; 0 if there is no sample.
   double RecentMean = 0;
   /// Estimates over the recent samples, one for each of
-  /// `DistributionQuantiles`; not a number if there is no sample.
+  /// `DistributionQuantiles`; NaN if there is no sample.
   std::array<double, DistributionQuantiles.size()> RecentQuantiles{};
 };
 
-/// Samples of a quantity, kept as count, sum and streaming estimates of mean
-/// and quantiles. Each distribution is a shard of its own, under its own lock;
-/// a sample allocates nothing. The recent samples are the last `Window` to
-/// twice as many.
+/// Summarizes samples of a quantity as count, sum and streaming estimates of
+/// mean and quantiles. Each distribution has its own lock; recording a sample
+/// allocates nothing. The recent samples are the last `Window` to twice as
+/// many.
 class Distribution {
 public:
   static constexpr std::uint64_t Window = 2048;
--- a/Hemlockglade/State/Metrics/Gauge.h
+++ b/Hemlockglade/State/Metrics/Gauge.h
@@ -5,21 +5,21 @@
 
 namespace hemlockglade {
 
-/// A number that rises and falls. Safe to use from any thread.
+/// A number that can increase and decrease. Safe to use from any thread.
 class Gauge {
 public:
   void set(double value) { Value.store(value, std::memory_order_relaxed); }
-  /// Adds to the value; an unset gauge counts from 0.
+  /// Adds to the value; an unset gauge is taken as 0.
   void add(double change) {
     auto old = value();
     while (!Value.compare_exchange_weak(old, (old == old ? old : 0) + change,
                                         std::memory_order_relaxed))
       ;
   }
-  /// Takes the value away: the gauge is not exposed until it is set again.
+  /// Removes the value: the gauge is not exposed until it is set again.
   void unset() { set(std::numeric_limits<double>::quiet_NaN()); }
 
-  /// The value; not a number if it is not set.
+  /// Returns the value; NaN if it is not set.
   double value() const { return Value.load(std::memory_order_relaxed); }
 
 private:
--- a/Hemlockglade/State/Metrics/MetricRegistry.cpp
+++ b/Hemlockglade/State/Metrics/MetricRegistry.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view OverflowLabels = "overflow=\"true\"";
-/// Enough for the shortest form of any number.
+/// Enough for the shortest decimal form of any double.
 constexpr std::size_t NumberBytes = 32;
 
 std::string escaped(std::string_view value) {
@@ -44,21 +44,21 @@
   return {buf.data(), end};
 }
 
-std::string series(const std::string &name, const std::string &labels,
-                   const std::string &value) {
-  auto braced = labels.empty() ? "" : '{' + labels + '}';
-  return name + braced + ' ' + value + '\n';
+std::string seriesLine(const std::string &name, const std::string &labels,
+                       const std::string &value) {
+  auto labelSet = labels.empty() ? "" : '{' + labels + '}';
+  return name + labelSet + ' ' + value + '\n';
 }
 
 std::string seriesText(const std::string &name, const std::string &labels,
                        const Counter &it) {
-  return series(name, labels, std::to_string(it.value()));
+  return seriesLine(name, labels, std::to_string(it.value()));
 }
 
 std::string seriesText(const std::string &name, const std::string &labels,
                        const Gauge &it) {
   auto value = it.value();
-  return std::isnan(value) ? "" : series(name, labels, numberText(value));
+  return std::isnan(value) ? "" : seriesLine(name, labels, numberText(value));
 }
 
 std::string seriesText(const std::string &name, const std::string &labels,
@@ -69,10 +69,10 @@
   for (std::size_t n = 0; n < DistributionQuantiles.size(); ++n) {
     auto quantile = prefix;
     quantile += "quantile=\"" + numberText(DistributionQuantiles[n]) + '"';
-    out += series(name, quantile, numberText(summary.RecentQuantiles[n]));
+    out += seriesLine(name, quantile, numberText(summary.RecentQuantiles[n]));
   }
-  out += series(name + "_sum", labels, numberText(summary.Sum));
-  out += series(name + "_count", labels, std::to_string(summary.Count));
+  out += seriesLine(name + "_sum", labels, numberText(summary.Sum));
+  out += seriesLine(name + "_count", labels, std::to_string(summary.Count));
   return out;
 }
 
@@ -80,21 +80,21 @@
                        const Histogram &it) {
   auto prefix = labels.empty() ? labels : labels + ',';
   std::string out;
-  std::uint64_t below = 0;
+  std::uint64_t cumulative = 0;
   for (std::size_t n = 0; n <= Histogram::Bounds.size(); ++n) {
-    below += it.count(n);
-    bool last = n == Histogram::Bounds.size();
+    cumulative += it.count(n);
+    bool isLast = n == Histogram::Bounds.size();
     auto bound = prefix + "le=\"";
-    bound += last ? "+Inf" : numberText(Histogram::Bounds[n]);
+    bound += isLast ? "+Inf" : numberText(Histogram::Bounds[n]);
     bound += '"';
-    out += series(name + "_bucket", bound, std::to_string(below));
+    out += seriesLine(name + "_bucket", bound, std::to_string(cumulative));
   }
-  out += series(name + "_sum", labels, numberText(it.sum()));
-  out += series(name + "_count", labels, std::to_string(below));
+  out += seriesLine(name + "_sum", labels, numberText(it.sum()));
+  out += seriesLine(name + "_count", labels, std::to_string(cumulative));
   return out;
 }
 
-/// Adds the text of each family of one kind, by name.
+/// Appends the text of each family of one kind to `out`, by family name.
 template <typename Families>
 void exposeFamilies(const Families &families, std::string_view kind,
                     std::map<std::string, std::string> &out) {
@@ -126,8 +126,8 @@
   auto it = found.Series.find(key);
   if (it != found.Series.end())
     return it->second;
-  bool full = found.Series.size() >= MaxSeries;
-  return found.Series[full ? std::string(OverflowLabels) : key];
+  bool isFull = found.Series.size() >= MaxSeries;
+  return found.Series[isFull ? std::string(OverflowLabels) : key];
 }
 
 Counter &MetricRegistry::counter(const MetricFamily &family,
--- a/Hemlockglade/State/Metrics/MetricRegistry.h
+++ b/Hemlockglade/State/Metrics/MetricRegistry.h
@@ -14,7 +14,7 @@
 
 namespace hemlockglade {
 
-/// A name with a meaning, under which series with different labels stand.
+/// Name and help text of a metric; its series differ in their labels.
 struct MetricFamily {
   std::string_view Name;
   std::string_view Help;
@@ -23,13 +23,14 @@
 /// Names and values of labels, in a fixed order.
 using MetricLabels = std::vector<std::pair<std::string_view, std::string_view>>;
 
-/// All metrics of a process. A series is made when it is first asked for and
-/// lives as long as the registry: hot paths ask once and keep the reference.
-/// The registry is sharded by family, each shard under its own lock.
+/// All metrics of a process. A series is created when it is first requested and
+/// lives as long as the registry, so hot paths request it once and keep the
+/// reference. Safe to use from any thread: the registry is sharded by family,
+/// and each shard has its own lock.
 class MetricRegistry {
 public:
-  /// Series that a family may have; further label values share one series
-  /// with the label `overflow="true"`, so that memory stays bounded.
+  /// Maximum series of a family. Further label values share one series with the
+  /// label `overflow="true"`, so that memory stays bounded.
   static constexpr std::size_t MaxSeries = 1024;
 
   Counter &counter(const MetricFamily &family, const MetricLabels &labels = {});
@@ -39,13 +40,13 @@
   Histogram &histogram(const MetricFamily &family,
                        const MetricLabels &labels = {});
 
-  /// Everything in the usual text exposition format, sorted by name.
+  /// Returns all metrics in the Prometheus text format, sorted by name.
   std::string expose() const;
 
 private:
   static constexpr std::size_t ShardCount = 16;
 
-  /// The series of one kind in one shard: family name, then label text.
+  /// The series of one kind in one shard, by family name and then label text.
   template <typename T> struct Families {
     struct Family {
       std::string Help;
--- a/UnitTests/State/Log/EventLogTest.cpp
+++ b/UnitTests/State/Log/EventLogTest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object", "[log]") {
+TEST_CASE("each line is one JSON object", "[log]") {
   LogFixture it;
   it.Log.write(LogClass::Request, "send",
                {{"request", "a \"quoted\"\nid\xff"},
@@ -40,7 +40,7 @@
   CHECK(node["waited_ms"] == 1.5);
 }
 
-TEST_CASE("lines beyond the bound are left out and counted", "[log]") {
+TEST_CASE("lines over the limit are dropped and counted", "[log]") {
   LogFixture it;
   for (int n = 0; n < 10; ++n)
     it.Log.write(LogClass::Request, "send", {});
--- a/UnitTests/State/Metrics/MetricsTest.cpp
+++ b/UnitTests/State/Metrics/MetricsTest.cpp
@@ -34,14 +34,15 @@
 constexpr MetricFamily Stall{"x_stall_seconds", "Stall."};
 constexpr MetricFamily Members{"x_members", "Members."};
 
-/// The same on every platform, unlike the library's distributions.
+/// Returns a number in [0, 1). It is the same on every platform, unlike those
+/// of the library's distributions.
 double uniform(std::mt19937 &random) {
   return static_cast<double>(random()) / 4294967296.0;
 }
 
-double exact(std::vector<double> samples, double share) {
+double exactQuantile(std::vector<double> samples, double fraction) {
   std::sort(samples.begin(), samples.end());
-  auto rank = std::ceil(share * static_cast<double>(samples.size()));
+  auto rank = std::ceil(fraction * static_cast<double>(samples.size()));
   return samples[static_cast<std::size_t>(rank) - 1];
 }
 
@@ -73,7 +74,7 @@
         "x_stall_seconds_count{class=\"phone\"} 4\n");
 }
 
-TEST_CASE("a gauge can be added to and unset", "[metrics]") {
+TEST_CASE("a gauge can be increased, decreased and unset", "[metrics]") {
   MetricRegistry registry;
   auto &gauge = registry.gauge(Members);
   gauge.add(2);
@@ -85,7 +86,8 @@
   CHECK_THAT(registry.expose(), Catch::Contains("x_members 0\n"));
 }
 
-TEST_CASE("the number of series of a family is bounded", "[metrics]") {
+TEST_CASE("series beyond the maximum of a family share an overflow series",
+          "[metrics]") {
   MetricRegistry registry;
   for (std::size_t it = 0; it < 2 * MetricRegistry::MaxSeries; ++it)
     registry.counter(Refused, {{"reason", std::to_string(it)}}).add();
@@ -96,8 +98,7 @@
   CHECK_THAT(registry.expose(), Catch::Contains("{overflow=\"true\"} 1024\n"));
 }
 
-TEST_CASE("quantiles are near the exact ones of the recent samples",
-          "[metrics]") {
+TEST_CASE("estimated quantiles are close to the exact ones", "[metrics]") {
   auto shape = GENERATE(1.0, 3.0, 0.25);
   auto count = GENERATE(1U, 5U, 9U, 10U, 65U, 100U, 256U, 257U, 300U, 1000U,
                         4095U, 4096U, 4097U, 9000U);
@@ -113,12 +114,13 @@
   for (std::size_t it = 0; it < DistributionQuantiles.size(); ++it) {
     INFO("shape " << shape << " count " << count << " quantile "
                   << DistributionQuantiles[it]);
-    CHECK(summary.RecentQuantiles[it] ==
-          Approx(exact(samples, DistributionQuantiles[it])).margin(0.06));
+    CHECK(
+        summary.RecentQuantiles[it] ==
+        Approx(exactQuantile(samples, DistributionQuantiles[it])).margin(0.06));
   }
 }
 
-TEST_CASE("old samples are forgotten", "[metrics]") {
+TEST_CASE("the summary covers recent samples only", "[metrics]") {
   Distribution distribution;
   for (std::uint64_t it = 0; it < 10 * Distribution::Window; ++it)
     distribution.record(100);
@@ -130,7 +132,7 @@
   CHECK(summary.Count == 12 * Distribution::Window);
 }
 
-TEST_CASE("a sample allocates nothing", "[metrics]") {
+TEST_CASE("recording a sample does not allocate", "[metrics]") {
   MetricRegistry registry;
   auto &counter = registry.counter(Refused);
   auto &gauge = registry.gauge(Members);
@@ -168,7 +170,7 @@
   CHECK(summary.Sum == Threads * Samples);
 }
 
-TEST_CASE("a histogram counts samples below each bound", "[metrics]") {
+TEST_CASE("a histogram exposes cumulative counts for its bounds", "[metrics]") {
   MetricRegistry registry;
   auto &it = registry.histogram(Stall, {{"service", "drafts"}});
   for (double seconds : {0.001, 0.002, 0.03, 99.0})
