--- a/Hemlockglade/Transport/Endpoint/EngineClient.cpp
+++ b/Hemlockglade/Transport/Endpoint/EngineClient.cpp
@@ -7,7 +7,7 @@
 constexpr Span LoadTimeout = std::chrono::seconds(120);
 constexpr Span UnloadTimeout = std::chrono::seconds(10);
 constexpr Span ReportTimeout = std::chrono::seconds(2);
-constexpr int Ok = 200;
+constexpr int OkStatus = 200;
 constexpr int Conflict = 409;
 constexpr int FirstServerError = 500;
 
@@ -27,13 +27,13 @@
                     {std::string(header::Fence), std::to_string(fence)}};
   HttpHooks hooks;
   hooks.OnDone = [done = std::move(done)](const HttpResult &result) {
-    if (result.Whole && result.Status == Ok)
+    if (result.Whole && result.Status == OkStatus)
       return done(OrderResult::Done);
     if (result.Whole && result.Status == Conflict)
       return done(OrderResult::Fenced);
-    bool answered = result.Whole && result.Status < FirstServerError;
-    bool refused = answered || (!result.Whole && !result.MayHaveSent);
-    done(refused ? OrderResult::Refused : OrderResult::Unknown);
+    bool isAnswered = result.Whole && result.Status < FirstServerError;
+    bool isRefused = isAnswered || (!result.Whole && !result.MayHaveSent);
+    done(isRefused ? OrderResult::Refused : OrderResult::Unknown);
   };
   return Client.start(std::move(request), std::move(hooks));
 }
@@ -64,7 +64,7 @@
                [done = std::move(done)](const HttpResult &result,
                                         const std::string &body) {
                  auto report = engine_format::readReport(body);
-                 if (!result.Whole || result.Status != Ok || !report)
+                 if (!result.Whole || result.Status != OkStatus || !report)
                    return done(std::nullopt);
                  done(std::move(*report));
                });
--- a/Hemlockglade/Transport/Endpoint/EngineClient.h
+++ b/Hemlockglade/Transport/Endpoint/EngineClient.h
@@ -5,35 +5,39 @@
 
 namespace hemlockglade {
 
-/// How an engine took an order.
+/// Result of an order to an engine.
 enum class OrderResult : std::uint8_t {
+  /// The engine carried out the order.
   Done,
-  /// The engine refused; nothing changed.
+  /// The engine refused the order, or it was not sent; nothing changed.
   Refused,
-  /// The engine refused because a newer owner gives the orders.
+  /// The engine refused the order because a newer owner sends the orders.
   Fenced,
-  /// No answer; it may have been done.
+  /// There was no answer; the engine may have carried out the order.
   Unknown,
 };
 
-/// Gives orders to model engines and asks for their reports.
+/// Sends orders to model engines and requests their reports.
 class EngineClient {
 public:
   explicit EngineClient(HttpClient &client);
 
-  /// Orders `ip:port` to load an adapter (`name@version`).
+  /// Orders the engine at `ip:port` to load an adapter (`name@version`).
   HttpClient::Ticket load(const std::string &address,
                           const std::string &adapter, Epoch fence,
                           std::function<void(OrderResult)> done);
-  /// Orders `ip:port` to unload an adapter.
+  /// Orders the engine at `ip:port` to unload an adapter.
   void unload(const std::string &address, const std::string &adapter,
               Epoch fence, std::function<void(OrderResult)> done);
-  /// Asks for the load report; nothing if there was no answer.
+  /// Requests the load report. `done` gets nothing if there was no valid
+  /// answer.
   void report(const std::string &address,
               std::function<void(std::optional<EngineReport>)> done);
-  /// Asks a plain service for its health; any whole answer counts as alive.
+  /// Probes a plain service. `done` gets true after any complete answer,
+  /// whatever its status.
   void probe(const std::string &address, std::function<void(bool)> done);
-  /// Takes back a load order.
+  /// Cancels a load order; its result is then `Unknown`, or `Refused` if it was
+  /// not sent.
   void cancel(HttpClient::Ticket ticket);
 
 private:
--- a/Hemlockglade/Transport/Http/BreakableSocket.cpp
+++ b/Hemlockglade/Transport/Http/BreakableSocket.cpp
@@ -4,43 +4,44 @@
 
 namespace hemlockglade {
 
-void BreakableSockets::enter(const ConnectionEnds &ends, int descriptor) {
+void BreakableSockets::add(const ConnectionEnds &ends, int descriptor) {
   std::lock_guard lock(Mutex);
-  Open[ends] = descriptor;
+  Descriptors[ends] = descriptor;
 }
 
-void BreakableSockets::leave(const ConnectionEnds &ends, int descriptor) {
+void BreakableSockets::remove(const ConnectionEnds &ends, int descriptor) {
   std::lock_guard lock(Mutex);
-  auto it = Open.find(ends);
-  if (it != Open.end() && it->second == descriptor)
-    Open.erase(it);
+  auto it = Descriptors.find(ends);
+  if (it != Descriptors.end() && it->second == descriptor)
+    Descriptors.erase(it);
 }
 
-void BreakableSockets::shut(const ConnectionEnds &ends) {
-  // Under the lock, so that the descriptor can't have become another's.
+void BreakableSockets::breakConnection(const ConnectionEnds &ends) {
+  // Under the lock, so that the descriptor can't be closed and reused for
+  // another connection meanwhile.
   std::lock_guard lock(Mutex);
-  auto it = Open.find(ends);
-  if (it != Open.end())
+  auto it = Descriptors.find(ends);
+  if (it != Descriptors.end())
     ::shutdown(it->second, SHUT_RDWR);
 }
 
-void BreakableSocket::enter() {
+void BreakableSocket::registerOnce() {
   if (Ends)
     return;
   asio::error_code ec;
   auto local = local_endpoint(ec);
   auto remote = ec ? asio::ip::tcp::endpoint() : remote_endpoint(ec);
-  // One that has no other side any more is broken already.
+  // A socket without a remote endpoint is disconnected already.
   if (ec)
     return;
   Ends = ConnectionEnds{local.port(), remote};
-  BreakableSockets::of(get_executor().context()).enter(*Ends, native_handle());
+  BreakableSockets::of(get_executor().context()).add(*Ends, native_handle());
 }
 
-void BreakableSocket::leave() {
+void BreakableSocket::unregister() {
   if (!Ends)
     return;
-  BreakableSockets::of(get_executor().context()).leave(*Ends, native_handle());
+  BreakableSockets::of(get_executor().context()).remove(*Ends, native_handle());
   Ends.reset();
 }
 
--- a/Hemlockglade/Transport/Http/BreakableSocket.h
+++ b/Hemlockglade/Transport/Http/BreakableSocket.h
@@ -8,8 +8,8 @@
 
 namespace hemlockglade {
 
-/// What tells the connections of one host apart: the port that was connected
-/// to, and the other side.
+/// Identifies a connection on this host: the local port that was connected to,
+/// and the remote endpoint.
 struct ConnectionEnds {
   std::uint16_t LocalPort = 0;
   asio::ip::tcp::endpoint Remote;
@@ -21,8 +21,8 @@
   bool operator==(const ConnectionEnds &) const = default;
 };
 
-/// The open connections of an io_context that can be broken by their ends.
-/// Guarded by a lock.
+/// The open connections of an io_context, which can be broken by their ends.
+/// Safe to use from any thread.
 class BreakableSockets : public asio::execution_context::service {
 public:
   // NOLINTBEGIN(readability-identifier-naming): Asio's names for a service.
@@ -37,22 +37,23 @@
     return asio::use_service<BreakableSockets>(context);
   }
 
-  void enter(const ConnectionEnds &ends, int descriptor);
-  void leave(const ConnectionEnds &ends, int descriptor);
-  /// Shuts the connection both ways: reads of its owner end, writes fail. The
-  /// descriptor stays open until its owner closes it.
-  void shut(const ConnectionEnds &ends);
+  void add(const ConnectionEnds &ends, int descriptor);
+  void remove(const ConnectionEnds &ends, int descriptor);
+  /// Shuts the connection down in both directions: its owner's reads end and
+  /// its writes fail. The descriptor stays open until its owner closes it.
+  void breakConnection(const ConnectionEnds &ends);
 
 private:
   void shutdown() override {}
 
   std::mutex Mutex;
-  std::map<ConnectionEnds, int> Open;
+  std::map<ConnectionEnds, int> Descriptors;
 };
 
-/// A socket that can be broken while another library owns it: RESTinio has no
-/// call that ends a connection inside an answer. It enters itself when it is
-/// first read from, by which time its owner no longer moves it.
+/// A socket whose connection can be broken while another library owns it, since
+/// RESTinio has no call that ends a connection within an answer. It registers
+/// itself in `BreakableSockets` at its first read, after which its owner no
+/// longer moves it.
 class BreakableSocket : public asio::ip::tcp::socket {
   using Base = asio::ip::tcp::socket;
 
@@ -60,23 +61,23 @@
   using Base::Base;
   BreakableSocket(BreakableSocket &&) = default;
   BreakableSocket &operator=(BreakableSocket &&) = delete;
-  ~BreakableSocket() { leave(); }
+  ~BreakableSocket() { unregister(); }
 
   // NOLINTBEGIN(readability-identifier-naming): names of the socket's own.
   template <typename Buffers, typename Handler>
   auto async_read_some(const Buffers &buffers, Handler &&handler) {
-    enter();
+    registerOnce();
     return Base::async_read_some(buffers, std::forward<Handler>(handler));
   }
   // NOLINTEND(readability-identifier-naming)
   void close() {
-    leave();
+    unregister();
     Base::close();
   }
 
 private:
-  void enter();
-  void leave();
+  void registerOnce();
+  void unregister();
 
   std::optional<ConnectionEnds> Ends;
 };
--- a/Hemlockglade/Transport/Http/HttpClient.cpp
+++ b/Hemlockglade/Transport/Http/HttpClient.cpp
@@ -20,35 +20,36 @@
       std::chrono::ceil<std::chrono::milliseconds>(span).count());
 }
 
-/// One exchange, from its start to OnDone.
+/// State of one exchange, from its start to OnDone.
 struct Transfer {
   HttpClient::Ticket Number = 0;
   HttpRequest Request;
   HttpHooks Hooks;
   CURL *Easy = nullptr;
-  curl_slist *List = nullptr;
+  curl_slist *HeaderList = nullptr;
   HttpFields Fields;
   int Status = 0;
-  /// The empty line after the header has come. Without it libcurl takes an
-  /// answer that is cut in its header for one without a body.
-  bool HeadWhole = false;
-  bool HeadGiven = false;
-  /// libcurl was about to send the request, once.
-  bool Sent = false;
+  /// Whether the empty line after the header has arrived. Without this check
+  /// libcurl takes an answer that is cut off in its header for one without a
+  /// body.
+  bool HasWholeHead = false;
+  bool HasReportedHead = false;
+  /// Whether libcurl has been about to send the request before.
+  bool HasStartedSending = false;
 
   Transfer() = default;
   Transfer(const Transfer &) = delete;
   Transfer &operator=(const Transfer &) = delete;
   ~Transfer() {
-    curl_slist_free_all(List);
+    curl_slist_free_all(HeaderList);
     if (Easy)
       curl_easy_cleanup(Easy);
   }
 
-  void giveHead() {
-    if (HeadGiven)
+  void reportHead() {
+    if (HasReportedHead)
       return;
-    HeadGiven = true;
+    HasReportedHead = true;
     long status = 0;
     curl_easy_getinfo(Easy, CURLINFO_RESPONSE_CODE, &status);
     Status = static_cast<int>(status);
@@ -63,11 +64,11 @@
   std::string_view line(data, size * n);
   if (line.starts_with("HTTP/")) {
     transfer->Fields.clear();
-    transfer->HeadWhole = false;
+    transfer->HasWholeHead = false;
     return size * n;
   }
   if (line == "\r\n" || line == "\n")
-    transfer->HeadWhole = true;
+    transfer->HasWholeHead = true;
   auto colon = line.find(':');
   if (colon == std::string_view::npos)
     return size * n;
@@ -82,24 +83,25 @@
 
 std::size_t onBody(char *data, std::size_t size, std::size_t n, void *user) {
   auto *transfer = static_cast<Transfer *>(user);
-  transfer->giveHead();
+  transfer->reportHead();
   std::string_view part(data, size * n);
   if (transfer->Hooks.OnPart && !transfer->Hooks.OnPart(part))
     return CURL_WRITEFUNC_PAUSE;
   return size * n;
 }
 
-/// Idle connections older than this are not used again: common servers close
-/// theirs after 5 s, and a request that meets that is lost.
-constexpr long KeptIdleSeconds = 4;
+/// Idle connections older than this are not reused: common servers close theirs
+/// after 5 s, and a request that is sent at that moment is lost.
+constexpr long MaxIdleSeconds = 4;
 
-/// libcurl sends a request once more by itself if a kept connection breaks
-/// before an answer. Whether to try again is not its decision: the first
-/// sending may have been run.
+/// Prevents retries by libcurl, which sends a request again if a reused
+/// connection breaks before an answer. The first attempt may have been run, so
+/// the caller decides about retries.
 int onBeforeSending(void *user, char *, char *, int, int) {
   auto *transfer = static_cast<Transfer *>(user);
-  return std::exchange(transfer->Sent, true) ? CURL_PREREQFUNC_ABORT
-                                             : CURL_PREREQFUNC_OK;
+  return std::exchange(transfer->HasStartedSending, true)
+             ? CURL_PREREQFUNC_ABORT
+             : CURL_PREREQFUNC_OK;
 }
 
 } // namespace
@@ -108,13 +110,14 @@
 public:
   explicit Impl(asio::io_context &context)
       : Strand(asio::make_strand(context)), Timer(Strand),
-        Ready(Strand, epoll_create1(EPOLL_CLOEXEC)), Multi(curl_multi_init()) {
-    constexpr long KeptConnections = 4096;
+        SocketSet(Strand, epoll_create1(EPOLL_CLOEXEC)),
+        Multi(curl_multi_init()) {
+    constexpr long MaxIdleConnections = 4096;
     curl_multi_setopt(Multi, CURLMOPT_SOCKETFUNCTION, &Impl::onSocket);
     curl_multi_setopt(Multi, CURLMOPT_SOCKETDATA, this);
     curl_multi_setopt(Multi, CURLMOPT_TIMERFUNCTION, &Impl::onTimer);
     curl_multi_setopt(Multi, CURLMOPT_TIMERDATA, this);
-    curl_multi_setopt(Multi, CURLMOPT_MAXCONNECTS, KeptConnections);
+    curl_multi_setopt(Multi, CURLMOPT_MAXCONNECTS, MaxIdleConnections);
   }
   Impl(const Impl &) = delete;
   Impl &operator=(const Impl &) = delete;
@@ -128,9 +131,9 @@
     curl_multi_cleanup(Multi);
   }
 
-  /// Begins to wait for sockets that are ready.
-  void open() {
-    asio::post(Strand, [self = shared_from_this()] { self->wait(); });
+  /// Starts waiting for ready sockets.
+  void startWaiting() {
+    asio::post(Strand, [self = shared_from_this()] { self->waitForSockets(); });
   }
 
   Ticket start(HttpRequest request, HttpHooks hooks) {
@@ -160,7 +163,7 @@
       if (it == self->Transfers.end())
         return;
       curl_easy_pause(it->second->Easy, CURLPAUSE_CONT);
-      self->driveTimers();
+      self->runTimers();
     });
   }
 
@@ -170,17 +173,19 @@
     CURL *easy = curl_easy_init();
     transfer->Easy = easy;
     for (const auto &[name, value] : request.Fields) {
-      // libcurl leaves out a field that ends in a colon.
+      // libcurl omits a field that ends in a colon; a semicolon makes it send
+      // the field with an empty value.
       auto line = name;
       line += value.empty() ? ";" : ": ";
       line += value;
-      transfer->List = curl_slist_append(transfer->List, line.c_str());
+      transfer->HeaderList =
+          curl_slist_append(transfer->HeaderList, line.c_str());
     }
-    transfer->List = curl_slist_append(transfer->List, "Expect:");
+    transfer->HeaderList = curl_slist_append(transfer->HeaderList, "Expect:");
     curl_easy_setopt(easy, CURLOPT_URL, request.Url.c_str());
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.Method.c_str());
-    curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer->List);
-    // An answer to HEAD has a length and no body.
+    curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer->HeaderList);
+    // An answer to HEAD has a length, but no body.
     if (request.Method == "HEAD")
       curl_easy_setopt(easy, CURLOPT_NOBODY, 1L);
     curl_easy_setopt(easy, CURLOPT_PATH_AS_IS, 1L);
@@ -202,7 +207,7 @@
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, transfer.get());
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &onBody);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer.get());
-    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, KeptIdleSeconds);
+    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, MaxIdleSeconds);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, &onBeforeSending);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, transfer.get());
     curl_easy_setopt(easy, CURLOPT_PRIVATE, transfer.get());
@@ -216,30 +221,30 @@
       return;
     auto transfer = it->second;
     Transfers.erase(it);
-    long sent = 0;
-    curl_easy_getinfo(transfer->Easy, CURLINFO_REQUEST_SIZE, &sent);
-    result.MayHaveSent = sent > 0;
-    if (result.Whole && !transfer->HeadWhole) {
+    long sentBytes = 0;
+    curl_easy_getinfo(transfer->Easy, CURLINFO_REQUEST_SIZE, &sentBytes);
+    result.MayHaveSent = sentBytes > 0;
+    if (result.Whole && !transfer->HasWholeHead) {
       result.Whole = false;
       result.Error = "the answer is cut in its header";
     }
     if (result.Whole)
-      transfer->giveHead();
+      transfer->reportHead();
     result.Status = transfer->Status;
     curl_multi_remove_handle(Multi, transfer->Easy);
     if (transfer->Hooks.OnDone)
       transfer->Hooks.OnDone(result);
   }
 
-  void driveTimers() {
+  void runTimers() {
     int running = 0;
     curl_multi_socket_action(Multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    collect();
+    finishCompleted();
   }
 
-  void collect() {
-    int left = 0;
-    while (CURLMsg *message = curl_multi_info_read(Multi, &left)) {
+  void finishCompleted() {
+    int remaining = 0;
+    while (CURLMsg *message = curl_multi_info_read(Multi, &remaining)) {
       if (message->msg != CURLMSG_DONE)
         continue;
       char *data = nullptr;
@@ -262,7 +267,7 @@
         [weak = self->weak_from_this()](asio::error_code ec) {
           auto impl = weak.lock();
           if (!ec && impl)
-            impl->driveTimers();
+            impl->runTimers();
         });
     return 0;
   }
@@ -270,42 +275,42 @@
   static int onSocket(CURL *, curl_socket_t fd, int what, void *user,
                       void *known) {
     auto *self = static_cast<Impl *>(user);
-    int set = self->Ready.native_handle();
+    int set = self->SocketSet.native_handle();
     epoll_event event{};
     event.data.fd = fd;
     if (what & CURL_POLL_IN)
       event.events |= EPOLLIN;
     if (what & CURL_POLL_OUT)
       event.events |= EPOLLOUT;
-    // Nothing is wanted of a paused transfer; a socket that stayed in the set
-    // would report its end over and over.
-    bool wanted = what != CURL_POLL_REMOVE && event.events;
-    if (wanted)
+    // libcurl waits for no event of a paused transfer. If its socket stayed in
+    // the set, it would report a hangup over and over.
+    bool isWatched = what != CURL_POLL_REMOVE && event.events;
+    if (isWatched)
       epoll_ctl(set, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &event);
     else if (known)
       epoll_ctl(set, EPOLL_CTL_DEL, fd, nullptr);
-    curl_multi_assign(self->Multi, fd, wanted ? self : nullptr);
+    curl_multi_assign(self->Multi, fd, isWatched ? self : nullptr);
     return 0;
   }
 
-  /// Waits until any socket is ready. The sockets are in a set of their own
-  /// that stays as it is from event to event, so that a busy client pays for
-  /// one wait for many events.
-  void wait() {
-    Ready.async_wait(asio::posix::stream_descriptor::wait_read,
-                     [weak = weak_from_this()](asio::error_code ec) {
-                       auto self = weak.lock();
-                       if (ec || !self)
-                         return;
-                       self->serveReady();
-                       self->wait();
-                     });
+  /// Waits until any socket is ready. The sockets are in an epoll set of their
+  /// own that persists between events, so that a busy client needs one wait for
+  /// many events.
+  void waitForSockets() {
+    SocketSet.async_wait(asio::posix::stream_descriptor::wait_read,
+                         [weak = weak_from_this()](asio::error_code ec) {
+                           auto self = weak.lock();
+                           if (ec || !self)
+                             return;
+                           self->handleReadySockets();
+                           self->waitForSockets();
+                         });
   }
 
-  void serveReady() {
+  void handleReadySockets() {
     constexpr int Batch = 64;
     std::array<epoll_event, Batch> events{};
-    int n = epoll_wait(Ready.native_handle(), events.data(), Batch, 0);
+    int n = epoll_wait(SocketSet.native_handle(), events.data(), Batch, 0);
     for (int it = 0; it < n; ++it) {
       auto seen = events[static_cast<std::size_t>(it)];
       int action = 0;
@@ -317,13 +322,13 @@
       int running = 0;
       curl_multi_socket_action(Multi, seen.data.fd, action, &running);
     }
-    collect();
+    finishCompleted();
   }
 
   asio::strand<asio::io_context::executor_type> Strand;
   asio::steady_timer Timer;
-  /// The set of sockets that libcurl waits for.
-  asio::posix::stream_descriptor Ready;
+  /// The epoll set of the sockets that libcurl waits for.
+  asio::posix::stream_descriptor SocketSet;
   CURLM *Multi;
   std::atomic<Ticket> LastTicket{0};
   std::unordered_map<Ticket, std::shared_ptr<Transfer>> Transfers;
@@ -331,7 +336,7 @@
 
 HttpClient::HttpClient(asio::io_context &context)
     : Inner(std::make_shared<Impl>(context)) {
-  Inner->open();
+  Inner->startWaiting();
 }
 
 HttpClient::~HttpClient() = default;
--- a/Hemlockglade/Transport/Http/HttpClient.h
+++ b/Hemlockglade/Transport/Http/HttpClient.h
@@ -13,39 +13,39 @@
   std::string Url;
   HttpFields Fields;
   std::string Body;
-  /// Whole time allowed; zero for no limit.
+  /// Timeout of the whole exchange; zero for none.
   Span Timeout = std::chrono::seconds(0);
   Span ConnectTimeout = std::chrono::seconds(1);
-  /// Uses a connection of its own. libcurl sends a request once more by itself
-  /// if a kept connection breaks under it, so a request that must not run
-  /// twice needs a new one.
+  /// Whether to use a new connection. libcurl itself retries a request if a
+  /// reused connection breaks, so a request that must not run twice needs a new
+  /// one.
   bool FreshConnection = false;
 };
 
-/// How an exchange ended.
+/// Result of an exchange.
 struct HttpResult {
-  /// Whether the whole answer arrived.
+  /// Whether the complete answer arrived.
   bool Whole = false;
-  /// Whether any byte of the request may have reached the other side.
+  /// Whether any byte of the request may have reached the server.
   bool MayHaveSent = true;
   bool Cancelled = false;
   int Status = 0;
-  /// Text for the log if the answer isn't whole.
+  /// Text for the log if the answer isn't complete.
   std::string Error;
 };
 
-/// What a caller of the client is told. All hooks run on the client's strand.
+/// Hooks of one exchange. All of them run on the client's strand.
 struct HttpHooks {
-  /// The status line and the header are in.
+  /// Called when the status line and the header have arrived.
   std::function<void(int status, const HttpFields &fields)> OnHead;
-  /// A part of the body. False pauses the transfer, and the part is given
-  /// again after `resume`.
+  /// Called for each part of the body. Returning false pauses the transfer; the
+  /// part is passed again after `resume`.
   std::function<bool(std::string_view part)> OnPart;
-  /// Nothing more will come.
+  /// Called once, last of all.
   std::function<void(const HttpResult &result)> OnDone;
 };
 
-/// An HTTP client for many transfers at once: libcurl driven by Asio.
+/// An HTTP client for many concurrent transfers: libcurl driven by Asio.
 class HttpClient {
 public:
   using Ticket = std::uint64_t;
@@ -55,14 +55,14 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  /// Starts a transfer.
+  /// Starts a transfer; returns the ticket to cancel or resume it with.
   Ticket start(HttpRequest request, HttpHooks hooks);
-  /// Ends a transfer; OnDone says that it was cancelled.
+  /// Ends a transfer; OnDone is called with `Cancelled` set.
   void cancel(Ticket ticket);
-  /// Goes on with a transfer that OnPart paused.
+  /// Resumes a transfer that OnPart paused.
   void resume(Ticket ticket);
 
-  /// Sends a request and gives the whole body; for small answers.
+  /// Sends a request and passes the whole body to `done`; for small answers.
   void fetch(HttpRequest request,
              std::function<void(const HttpResult &, std::string)> done);
 
--- a/Hemlockglade/Transport/Http/HttpServer.cpp
+++ b/Hemlockglade/Transport/Http/HttpServer.cpp
@@ -16,14 +16,15 @@
 using ConnectionId = restinio::connection_id_t;
 using RequestId = restinio::request_id_t;
 
-/// Tells replies that their caller has gone. A connection may have two
-/// requests at once, so each request has its own hook.
-class ConnectionWatch {
+/// Calls the hooks of replies whose caller has disconnected. A connection may
+/// have several requests at once, so each request has its own hook.
+class ConnectionTracker {
 public:
-  explicit ConnectionWatch(std::size_t most) : Most(most) {}
+  explicit ConnectionTracker(std::size_t maxConnections)
+      : MaxConnections(maxConnections) {}
 
-  /// The port that is listened on; set before the first connection. Kept here,
-  /// since connections may outlive the server.
+  /// The port that the server listens on; set before the first connection. It
+  /// is kept here, since connections may outlive the server.
   std::uint16_t Port = 0;
 
   // NOLINTNEXTLINE(readability-identifier-naming): RESTinio's name for it.
@@ -31,12 +32,12 @@
     using restinio::connection_state::accepted_t;
     using restinio::connection_state::closed_t;
     if (restinio::holds_alternative<accepted_t>(notice.cause()))
-      opened(notice.connection_id());
+      onOpened(notice.connection_id());
     if (restinio::holds_alternative<closed_t>(notice.cause()))
-      closed(notice.connection_id());
+      onClosed(notice.connection_id());
   }
 
-  void watch(ConnectionId id, RequestId request, std::function<void()> hook) {
+  void addHook(ConnectionId id, RequestId request, std::function<void()> hook) {
     {
       std::lock_guard lock(Mutex);
       auto it = Hooks.find(id);
@@ -49,7 +50,7 @@
       hook();
   }
 
-  void unwatch(ConnectionId id, RequestId request) {
+  void removeHook(ConnectionId id, RequestId request) {
     std::lock_guard lock(Mutex);
     auto it = Hooks.find(id);
     if (it != Hooks.end())
@@ -65,17 +66,17 @@
 private:
   using RequestHooks = std::vector<std::pair<RequestId, std::function<void()>>>;
 
-  void opened(ConnectionId id) {
+  void onOpened(ConnectionId id) {
     std::lock_guard lock(Mutex);
-    // What is thrown here closes the connection. RESTinio's own limit would
-    // have each connection refer to the server, which may be gone before the
-    // last of them is.
-    if (Hooks.size() >= Most)
+    // An exception here closes the connection. RESTinio's own limit is not
+    // used: with it each connection refers to the server, which may be
+    // destroyed before the last of them.
+    if (Hooks.size() >= MaxConnections)
       throw std::runtime_error("too many connections");
     Hooks[id];
   }
 
-  void closed(ConnectionId id) {
+  void onClosed(ConnectionId id) {
     RequestHooks hooks;
     {
       std::lock_guard lock(Mutex);
@@ -91,22 +92,22 @@
     }
   }
 
-  const std::size_t Most;
+  const std::size_t MaxConnections;
   mutable std::mutex Mutex;
   std::unordered_map<ConnectionId, RequestHooks> Hooks;
 };
 
 struct ServerTraits : restinio::default_traits_t {
-  using connection_state_listener_t = ConnectionWatch;
+  using connection_state_listener_t = ConnectionTracker;
   using stream_socket_t = BreakableSocket;
 };
 
 using Server = restinio::http_server_t<ServerTraits>;
-using Streamed = restinio::response_builder_t<restinio::chunked_output_t>;
+using StreamBuilder = restinio::response_builder_t<restinio::chunked_output_t>;
 
-/// Counts the answers that have not gone out yet. A token counts as one for as
-/// long as it lives; the server drops it with the last written byte.
-class Unfinished : public std::enable_shared_from_this<Unfinished> {
+/// Counts the answers that are not fully written yet. Each is counted while its
+/// token exists; the server releases the token after the last written byte.
+class PendingAnswers : public std::enable_shared_from_this<PendingAnswers> {
 public:
   std::shared_ptr<void> token() {
     ++Count;
@@ -121,10 +122,10 @@
 class Reply : public HttpReply, public std::enable_shared_from_this<Reply> {
 public:
   Reply(asio::io_context &context, restinio::request_handle_t request,
-        std::shared_ptr<ConnectionWatch> watch, std::shared_ptr<void> token,
+        std::shared_ptr<ConnectionTracker> tracker, std::shared_ptr<void> token,
         std::uint16_t port)
-      : Context(context), Request(std::move(request)), Watch(std::move(watch)),
-        Connection(Request->connection_id()),
+      : Context(context), Request(std::move(request)),
+        Tracker(std::move(tracker)), Connection(Request->connection_id()),
         Id(Request->request_id()), Ends{port, Request->remote_endpoint()},
         Token(std::move(token)) {}
 
@@ -132,14 +133,15 @@
   Reply &operator=(const Reply &) = delete;
 
   ~Reply() override {
-    // An unanswered request would hold its connection for ever.
+    // An unanswered request would keep its connection open for ever.
     try {
       if (Request)
         answer(UnansweredStatus, {}, "", false);
       else if (Builder)
-        breakOff();
+        breakConnection();
     } catch (const std::exception &) {
-      // The caller has gone, or memory has run out: nobody is left to tell.
+      // The caller has disconnected or memory has run out: there is nobody to
+      // report to.
     }
   }
 
@@ -167,7 +169,7 @@
   void sendPart(std::string part, std::function<void(bool)> sent) override {
     std::lock_guard lock(Mutex);
     if (!Builder) {
-      notSent(Context, std::move(sent));
+      postNotSent(Context, std::move(sent));
       return;
     }
     Builder->append_chunk(std::move(part));
@@ -177,9 +179,10 @@
     }
     Builder->flush(
         [&context = Context, sent = std::move(sent)](const auto &ec) mutable {
-          // A failure may be told from inside the call, under our lock.
+          // RESTinio may report a failure within the call, under the lock; so
+          // the hook is called later.
           if (ec)
-            notSent(context, std::move(sent));
+            postNotSent(context, std::move(sent));
           else
             sent(true);
         });
@@ -189,7 +192,7 @@
     std::lock_guard lock(Mutex);
     if (!Builder)
       return;
-    Watch->unwatch(Connection, Id);
+    Tracker->removeHook(Connection, Id);
     Builder->done([token = std::move(Token)](const auto &) {});
     Builder.reset();
   }
@@ -199,25 +202,25 @@
     if (Request)
       startChunks(UnansweredStatus, {});
     if (Builder)
-      breakOff();
+      breakConnection();
   }
 
   void onGone(std::function<void()> gone) override {
-    Watch->watch(Connection, Id, std::move(gone));
+    Tracker->addHook(Connection, Id, std::move(gone));
   }
 
 private:
   static constexpr int UnansweredStatus = 500;
 
-  static void notSent(asio::io_context &context,
-                      std::function<void(bool)> sent) {
+  static void postNotSent(asio::io_context &context,
+                          std::function<void(bool)> sent) {
     if (sent)
       asio::post(context, [sent = std::move(sent)] { sent(false); });
   }
 
   void answer(int status, const HttpFields &fields, std::string body,
               bool close) {
-    Watch->unwatch(Connection, Id);
+    Tracker->removeHook(Connection, Id);
     auto response = Request->create_response(statusLine(status));
     for (const auto &[name, value] : fields)
       response.append_header(name, value);
@@ -236,21 +239,22 @@
     Request.reset();
   }
 
-  /// Breaks the connection inside the answer.
-  void breakOff() {
-    Watch->unwatch(Connection, Id);
+  /// Breaks the connection within the answer.
+  void breakConnection() {
+    Tracker->removeHook(Connection, Id);
     Builder->flush();
-    // Behind what was just written. The write that fails then has RESTinio
-    // close the connection also where it reads no further requests. A write
-    // that fails inside the call that starts it, as that of a file shorter than
-    // promised, has RESTinio use what it has destroyed.
-    asio::post(Context,
-               [&context = Context, ends = Ends,
-                builder = std::make_shared<Streamed>(std::move(*Builder))] {
-                 BreakableSockets::of(context).shut(ends);
-                 builder->append_chunk(std::string(1, ' '));
-                 builder->flush();
-               });
+    // Posted, so that it runs after what was just written. The write after it
+    // fails, which makes RESTinio close the connection also where it reads no
+    // further requests. A write that fails within the call that starts it, such
+    // as that of a file shorter than announced, makes RESTinio use what it has
+    // destroyed.
+    asio::post(Context, [&context = Context, ends = Ends,
+                         builder = std::make_shared<StreamBuilder>(
+                             std::move(*Builder))] {
+      BreakableSockets::of(context).breakConnection(ends);
+      builder->append_chunk(std::string(1, ' '));
+      builder->flush();
+    });
     Builder.reset();
   }
 
@@ -265,26 +269,28 @@
   asio::io_context &Context;
   std::mutex Mutex;
   restinio::request_handle_t Request;
-  std::optional<Streamed> Builder;
-  std::shared_ptr<ConnectionWatch> Watch;
+  std::optional<StreamBuilder> Builder;
+  std::shared_ptr<ConnectionTracker> Tracker;
   ConnectionId Connection;
   RequestId Id;
   ConnectionEnds Ends;
   std::shared_ptr<void> Token;
 };
 
-/// At limits of the server's own a connection is closed without an answer, so
-/// they are wider than those that refuse with a status, by this factor.
-constexpr std::size_t Wider = 2;
+/// Factor by which RESTinio's limits are larger than those at which a request
+/// is refused with a status: at RESTinio's the connection is closed without an
+/// answer.
+constexpr std::size_t HardLimitFactor = 2;
 
-/// The status that refuses a request which is over a limit; 0 if none is.
-int overLimit(const HttpServerSettings &settings,
-              const restinio::request_t &request, std::size_t connections) {
+/// Returns the status with which to refuse a request that is over a limit; 0 if
+/// it is within all.
+int refusalStatus(const HttpServerSettings &settings,
+                  const restinio::request_t &request, std::size_t connections) {
   constexpr int BodyTooLarge = 413;
-  constexpr int TooMany = 429;
+  constexpr int TooManyConnections = 429;
   constexpr int FieldsTooLarge = 431;
   if (connections > settings.MaxConnections)
-    return TooMany;
+    return TooManyConnections;
   if (request.body().size() > settings.MaxBodyBytes)
     return BodyTooLarge;
   bool tooLarge = request.header().fields_count() > settings.MaxFields;
@@ -294,7 +300,7 @@
   return tooLarge ? FieldsTooLarge : 0;
 }
 
-/// Refuses a request that is over a limit before anything has run.
+/// Refuses a request that is over a limit before its handler is called.
 void refuseOverLimit(Reply &reply, int status) {
   constexpr std::string_view RetrySeconds = "1";
   reply.refuse(status,
@@ -331,55 +337,56 @@
 }
 
 struct HttpServer::Impl {
-  explicit Impl(std::size_t mostConnections)
-      : Watch(std::make_shared<ConnectionWatch>(mostConnections)) {}
+  explicit Impl(std::size_t maxConnections)
+      : Tracker(std::make_shared<ConnectionTracker>(maxConnections)) {}
 
-  std::shared_ptr<ConnectionWatch> Watch;
-  std::shared_ptr<Unfinished> Answers = std::make_shared<Unfinished>();
+  std::shared_ptr<ConnectionTracker> Tracker;
+  std::shared_ptr<PendingAnswers> Answers = std::make_shared<PendingAnswers>();
   std::unique_ptr<Server> Listener;
 };
 
 HttpServer::HttpServer(asio::io_context &context,
                        const HttpServerSettings &settings, HttpHandler handler)
-    : Inner(std::make_unique<Impl>(settings.MaxConnections * Wider)) {
+    : Inner(std::make_unique<Impl>(settings.MaxConnections * HardLimitFactor)) {
   constexpr auto NoLimit = std::chrono::hours(24);
-  auto watch = Inner->Watch;
+  auto tracker = Inner->Tracker;
   auto answers = Inner->Answers;
   restinio::incoming_http_msg_limits_t limits;
-  limits.max_body_size(settings.MaxBodyBytes * Wider);
-  limits.max_field_value_size(settings.MaxFieldBytes * Wider);
-  limits.max_field_count(settings.MaxFields * Wider);
+  limits.max_body_size(settings.MaxBodyBytes * HardLimitFactor);
+  limits.max_field_value_size(settings.MaxFieldBytes * HardLimitFactor);
+  limits.max_field_count(settings.MaxFields * HardLimitFactor);
   Inner->Listener = std::make_unique<Server>(
       restinio::external_io_context(context), [&](auto &server) {
         server.address(settings.Address)
             .port(settings.Port)
-            // Reading on while requests run shows that their caller left; it
-            // stops when as many as this run on one connection.
+            // Reading while requests run shows when their caller disconnects;
+            // it stops when this many run on one connection.
             .max_pipelined_requests(3)
             .handle_request_timeout(NoLimit)
             .read_next_http_message_timelimit(std::chrono::minutes(5))
             .write_http_response_timelimit(std::chrono::minutes(5))
             .incoming_http_msg_limits(limits)
-            .connection_state_listener(watch)
+            .connection_state_listener(tracker)
             .acceptor_options_setter([](auto &options) {
               options.set_option(asio::ip::tcp::acceptor::reuse_address(true));
             })
             .socket_options_setter([](auto &options) {
               options.set_option(asio::ip::tcp::no_delay(true));
             })
-            .acceptor_post_bind_hook([watch](auto &acceptor) {
-              watch->Port = acceptor.local_endpoint().port();
+            .acceptor_post_bind_hook([tracker](auto &acceptor) {
+              tracker->Port = acceptor.local_endpoint().port();
             })
-            .request_handler([handler = std::move(handler), watch, answers,
+            .request_handler([handler = std::move(handler), tracker, answers,
                               settings,
                               &context](restinio::request_handle_t request) {
-              auto over = overLimit(settings, *request, watch->connections());
-              auto incoming = over ? HttpIncoming() : toIncoming(*request);
+              auto refusal =
+                  refusalStatus(settings, *request, tracker->connections());
+              auto incoming = refusal ? HttpIncoming() : toIncoming(*request);
               auto reply =
-                  std::make_shared<Reply>(context, std::move(request), watch,
-                                          answers->token(), watch->Port);
-              if (over)
-                refuseOverLimit(*reply, over);
+                  std::make_shared<Reply>(context, std::move(request), tracker,
+                                          answers->token(), tracker->Port);
+              if (refusal)
+                refuseOverLimit(*reply, refusal);
               else
                 handler(std::move(incoming), std::move(reply));
               return restinio::request_accepted();
@@ -390,7 +397,7 @@
 
 HttpServer::~HttpServer() = default;
 
-std::uint16_t HttpServer::port() const { return Inner->Watch->Port; }
+std::uint16_t HttpServer::port() const { return Inner->Tracker->Port; }
 
 std::size_t HttpServer::unfinished() const { return Inner->Answers->count(); }
 
--- a/Hemlockglade/Transport/Peer/PeerLink.cpp
+++ b/Hemlockglade/Transport/Peer/PeerLink.cpp
@@ -15,20 +15,21 @@
 namespace {
 
 constexpr std::size_t LengthBytes = 4;
-constexpr std::uint32_t MaxMessage = 16 * 1024 * 1024;
+constexpr std::uint32_t MaxMessageBytes = 16 * 1024 * 1024;
 constexpr std::uint32_t MaxStreams = 100000;
 constexpr std::int32_t WindowBytes = 4 * 1024 * 1024;
-/// Bytes that may wait for a slow reader on one stream.
-constexpr std::size_t MaxQueued = 4 * std::size_t{MaxMessage};
-/// A drained buffer larger than this is given back.
-constexpr std::size_t KeptBuffer = std::size_t{16} * 1024;
+/// Bytes that may be queued for a slow reader on one stream.
+constexpr std::size_t MaxQueuedBytes = 4 * std::size_t{MaxMessageBytes};
+/// An empty buffer with a larger capacity than this is freed.
+constexpr std::size_t MaxIdleBufferBytes = std::size_t{16} * 1024;
 constexpr auto ConnectTimeout = std::chrono::seconds(2);
 
-// A host that vanished sends no end; the kernel asks for a sign of life.
+// A host that has crashed sends no end of its connections; so the kernel probes
+// idle ones.
 constexpr int KeepAliveIdleSeconds = 3;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 3;
-constexpr int UnackedMilliseconds = 6000;
+constexpr int UnacknowledgedMilliseconds = 6000;
 
 std::uint32_t readLength(std::string_view data) {
   std::uint32_t n = 0;
@@ -46,14 +47,14 @@
 
 } // namespace
 
-/// nghttp2's callbacks; `user` is the link.
+/// Callbacks of nghttp2; `user` is the link.
 struct PeerLink::Callbacks {
   static PeerLink &link(void *user) { return *static_cast<PeerLink *>(user); }
 
   static int onBeginHeaders(nghttp2_session *, const nghttp2_frame *frame,
                             void *user) {
     auto &self = link(user);
-    if (self.Accept && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
+    if (self.OnAccepted && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
       auto stream =
           std::make_shared<PeerStream>(self.weak_from_this(), std::string());
       stream->Id = frame->hd.stream_id;
@@ -69,7 +70,7 @@
     auto &self = link(user);
     std::string_view key(reinterpret_cast<const char *>(name), nameSize);
     auto it = self.Streams.find(frame->hd.stream_id);
-    if (self.Accept && key == ":path" && it != self.Streams.end())
+    if (self.OnAccepted && key == ":path" && it != self.Streams.end())
       it->second->Path.assign(reinterpret_cast<const char *>(value), valueSize);
     return 0;
   }
@@ -81,19 +82,19 @@
     if (it == self.Streams.end())
       return 0;
     auto stream = it->second;
-    bool opens = frame->hd.type == NGHTTP2_HEADERS &&
-                 frame->headers.cat == NGHTTP2_HCAT_REQUEST;
-    if (self.Accept && opens) {
+    bool isRequest = frame->hd.type == NGHTTP2_HEADERS &&
+                     frame->headers.cat == NGHTTP2_HCAT_REQUEST;
+    if (self.OnAccepted && isRequest) {
       auto ok = field(":status", "200");
-      auto provider = source();
+      auto provider = dataProvider();
       nghttp2_submit_response(session, stream->Id, &ok, 1, &provider);
-      self.Accept(stream);
+      self.OnAccepted(stream);
     }
     bool mayEnd =
         frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
     if (mayEnd && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM)) {
       self.endStream(*stream, true);
-      // The stream is forgotten only when both sides have ended it.
+      // nghttp2 closes a stream only when both sides have ended it.
       stream->Ended = true;
       nghttp2_session_resume_data(session, stream->Id);
     }
@@ -131,24 +132,24 @@
     if (it == self.Streams.end())
       return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     auto &stream = *it->second;
-    auto n = std::min(size, stream.Outgoing.size() - stream.Taken);
-    std::copy_n(stream.Outgoing.data() + stream.Taken, n, buf);
-    stream.Taken += n;
-    bool drained = stream.Taken == stream.Outgoing.size();
-    if (drained) {
+    auto n = std::min(size, stream.Outgoing.size() - stream.PassedBytes);
+    std::copy_n(stream.Outgoing.data() + stream.PassedBytes, n, buf);
+    stream.PassedBytes += n;
+    bool isDrained = stream.PassedBytes == stream.Outgoing.size();
+    if (isDrained) {
       stream.Outgoing.clear();
-      stream.Taken = 0;
-      if (stream.Outgoing.capacity() > KeptBuffer)
+      stream.PassedBytes = 0;
+      if (stream.Outgoing.capacity() > MaxIdleBufferBytes)
         stream.Outgoing.shrink_to_fit();
     }
-    if (drained && stream.Ended) {
+    if (isDrained && stream.Ended) {
       *flags |= NGHTTP2_DATA_FLAG_EOF;
       return static_cast<ssize_t>(n);
     }
     return n ? static_cast<ssize_t>(n) : ssize_t{NGHTTP2_ERR_DEFERRED};
   }
 
-  static nghttp2_data_provider source() {
+  static nghttp2_data_provider dataProvider() {
     nghttp2_data_provider provider{};
     provider.read_callback = &Callbacks::onRead;
     return provider;
@@ -158,7 +159,7 @@
 PeerLink::PeerLink(asio::ip::tcp::socket socket, Strand strand,
                    OnStream onStream)
     : Socket(std::move(socket)), Executor(std::move(strand)),
-      ConnectTimer(Executor), Accept(std::move(onStream)) {}
+      ConnectTimer(Executor), OnAccepted(std::move(onStream)) {}
 
 PeerLink::~PeerLink() { nghttp2_session_del(Session); }
 
@@ -174,7 +175,7 @@
                                                             &Callbacks::onData);
   nghttp2_session_callbacks_set_on_stream_close_callback(
       table, &Callbacks::onStreamClose);
-  if (Accept)
+  if (OnAccepted)
     nghttp2_session_server_new(&Session, table, this);
   else
     nghttp2_session_client_new(&Session, table, this);
@@ -187,14 +188,14 @@
   nghttp2_session_set_local_window_size(Session, NGHTTP2_FLAG_NONE, 0,
                                         WindowBytes);
   Connected = true;
-  watchPeer();
-  for (auto &stream : std::exchange(Waiting, {}))
+  setKeepAlive();
+  for (auto &stream : std::exchange(PendingStreams, {}))
     submit(stream);
   flush();
   read();
 }
 
-void PeerLink::watchPeer() {
+void PeerLink::setKeepAlive() {
   asio::error_code ec;
   Socket.set_option(asio::ip::tcp::no_delay(true), ec);
   Socket.set_option(asio::socket_base::keep_alive(true), ec);
@@ -205,11 +206,11 @@
   set(TCP_KEEPIDLE, KeepAliveIdleSeconds);
   set(TCP_KEEPINTVL, KeepAliveIntervalSeconds);
   set(TCP_KEEPCNT, KeepAliveProbes);
-  set(TCP_USER_TIMEOUT, UnackedMilliseconds);
+  set(TCP_USER_TIMEOUT, UnacknowledgedMilliseconds);
 }
 
 void PeerLink::connect(const asio::ip::tcp::endpoint &endpoint) {
-  // The caller may be on any thread; the socket is used on the strand only.
+  // The calling thread may be any; the socket is used on the strand only.
   asio::post(Executor, [self = shared_from_this(), endpoint] {
     if (self->Failed)
       return;
@@ -240,12 +241,12 @@
       self->submit(stream);
       self->flush();
     } else {
-      self->Waiting.push_back(stream);
+      self->PendingStreams.push_back(stream);
     }
   });
 }
 
-void PeerLink::shut() {
+void PeerLink::abort() {
   asio::post(Executor, [self = shared_from_this()] { self->fail(); });
 }
 
@@ -253,12 +254,12 @@
   std::array<nghttp2_nv, 4> fields{
       field(":method", "POST"), field(":scheme", "http"),
       field(":authority", "peer"), field(":path", stream->Path)};
-  auto provider = Callbacks::source();
+  auto provider = Callbacks::dataProvider();
   auto id = nghttp2_submit_request(Session, nullptr, fields.data(),
                                    fields.size(), &provider, nullptr);
   if (id < 0) {
-    // The connection's stream numbers are used up; the next one starts anew.
-    retire();
+    // The connection's stream ids are used up; a new connection starts again.
+    notifyUnusable();
     endStream(*stream, false);
     return;
   }
@@ -267,21 +268,21 @@
 }
 
 void PeerLink::send(PeerStream &stream, std::string message) {
-  assert(message.size() <= MaxMessage);
-  // A stream that waits for the connection only gathers what it will send.
+  assert(message.size() <= MaxMessageBytes);
+  // A stream that waits for the connection only buffers its messages.
   asio::dispatch(Executor, [self = shared_from_this(), &stream,
                             message = std::move(message),
-                            keep = stream.shared_from_this()] {
+                            keepAlive = stream.shared_from_this()] {
     if (!stream.Closed)
       self->queue(stream, message);
   });
 }
 
 void PeerLink::queue(PeerStream &stream, std::string_view message) {
-  auto waiting = stream.Outgoing.size() - stream.Taken;
-  if (waiting + message.size() > MaxQueued) {
+  auto waiting = stream.Outgoing.size() - stream.PassedBytes;
+  if (waiting + message.size() > MaxQueuedBytes) {
     stream.Outgoing = {};
-    stream.Taken = 0;
+    stream.PassedBytes = 0;
     if (Connected && stream.Id)
       nghttp2_submit_rst_stream(Session, NGHTTP2_FLAG_NONE, stream.Id,
                                 NGHTTP2_CANCEL);
@@ -292,18 +293,18 @@
   std::array<char, LengthBytes> head{};
   std::memcpy(head.data(), &n, LengthBytes);
   stream.Outgoing.append(head.data(), head.size()).append(message);
-  wake(stream);
+  resumeSending(stream);
 }
 
 void PeerLink::close(PeerStream &stream) {
   asio::dispatch(Executor, [self = shared_from_this(), &stream,
-                            keep = stream.shared_from_this()] {
+                            keepAlive = stream.shared_from_this()] {
     stream.Ended = true;
-    self->wake(stream);
+    self->resumeSending(stream);
   });
 }
 
-void PeerLink::wake(PeerStream &stream) {
+void PeerLink::resumeSending(PeerStream &stream) {
   if (!Connected || Failed || stream.Id == 0)
     return;
   nghttp2_session_resume_data(Session, stream.Id);
@@ -311,13 +312,13 @@
 }
 
 bool PeerLink::deliver(PeerStream &stream, std::string_view data) {
-  bool gathered = !stream.Incoming.empty();
-  if (gathered)
+  bool hasPartialMessage = !stream.Incoming.empty();
+  if (hasPartialMessage)
     stream.Incoming.append(data);
-  std::string_view rest = gathered ? stream.Incoming : data;
+  std::string_view rest = hasPartialMessage ? stream.Incoming : data;
   while (rest.size() >= LengthBytes) {
     auto n = readLength(rest);
-    if (n > MaxMessage)
+    if (n > MaxMessageBytes)
       return false;
     if (rest.size() < LengthBytes + n)
       break;
@@ -326,11 +327,12 @@
     if (stream.OnMessage && !stream.Closed)
       stream.OnMessage(message);
   }
-  if (gathered)
+  if (hasPartialMessage)
     stream.Incoming.erase(0, stream.Incoming.size() - rest.size());
   else
     stream.Incoming.assign(rest);
-  if (stream.Incoming.empty() && stream.Incoming.capacity() > KeptBuffer)
+  if (stream.Incoming.empty() &&
+      stream.Incoming.capacity() > MaxIdleBufferBytes)
     stream.Incoming.shrink_to_fit();
   return true;
 }
@@ -342,8 +344,8 @@
     hook(clean);
 }
 
-void PeerLink::retire() {
-  if (auto hook = std::exchange(OnShut, nullptr))
+void PeerLink::notifyUnusable() {
+  if (auto hook = std::exchange(OnUnusable, nullptr))
     hook();
 }
 
@@ -354,11 +356,11 @@
                                         asio::error_code ec, std::size_t n) {
         if (ec || self->Failed)
           return self->fail();
-        self->Busy = true;
-        auto taken =
+        self->InSession = true;
+        auto consumed =
             nghttp2_session_mem_recv(self->Session, self->ReadBuffer.data(), n);
-        self->Busy = false;
-        if (taken < 0)
+        self->InSession = false;
+        if (consumed < 0)
           return self->fail();
         self->flush();
         if (!self->Failed)
@@ -367,16 +369,16 @@
 }
 
 void PeerLink::flush() {
-  if (Writing || Failed || Busy || !Connected)
+  if (Writing || Failed || InSession || !Connected)
     return;
   WriteBuffer.clear();
   const std::uint8_t *data = nullptr;
-  Busy = true;
+  InSession = true;
   auto n = nghttp2_session_mem_send(Session, &data);
   for (; n > 0; n = nghttp2_session_mem_send(Session, &data))
     WriteBuffer.append(reinterpret_cast<const char *>(data),
                        static_cast<std::size_t>(n));
-  Busy = false;
+  InSession = false;
   if (n < 0)
     return fail();
   if (WriteBuffer.empty())
@@ -400,8 +402,8 @@
   asio::error_code ec;
   Socket.close(ec);
   ConnectTimer.cancel();
-  retire();
-  auto waiting = std::exchange(Waiting, {});
+  notifyUnusable();
+  auto waiting = std::exchange(PendingStreams, {});
   auto streams = std::exchange(Streams, {});
   for (auto &stream : waiting)
     endStream(*stream, false);
--- a/Hemlockglade/Transport/Peer/PeerNet.cpp
+++ b/Hemlockglade/Transport/Peer/PeerNet.cpp
@@ -9,32 +9,32 @@
 
 namespace {
 
-/// How long to wait when no connection can be accepted for now, as when the
-/// process has no descriptors left.
-constexpr auto AcceptRetry = std::chrono::milliseconds(100);
+/// Delay before accepting again after a failure, such as when the process has
+/// no descriptors left.
+constexpr auto AcceptRetryDelay = std::chrono::milliseconds(100);
 
 } // namespace
 
-/// What the handlers of a net use; outlives it while they run. All is used
-/// under the mutex.
+/// State that the handlers of a net share. It outlives the net while they run;
+/// all members are guarded by the mutex.
 struct PeerNet::Shared : std::enable_shared_from_this<Shared> {
   Shared(asio::io_context &context, const asio::ip::tcp::endpoint &endpoint,
          PeerLink::OnStream onStream)
-      : Context(context), Acceptor(context, endpoint), Retry(context),
-        Accept(std::move(onStream)) {}
+      : Context(context), Acceptor(context, endpoint), RetryTimer(context),
+        OnAccepted(std::move(onStream)) {}
 
   /// Waits for the next connection; call under the mutex.
   void accept();
-  void add(asio::ip::tcp::socket socket);
-  std::shared_ptr<PeerLink> linkTo(const std::string &address);
+  void addAccepted(asio::ip::tcp::socket socket);
+  std::shared_ptr<PeerLink> findOrConnect(const std::string &address);
 
   asio::io_context &Context;
   std::mutex Mutex;
   asio::ip::tcp::acceptor Acceptor;
-  asio::steady_timer Retry;
-  PeerLink::OnStream Accept;
+  asio::steady_timer RetryTimer;
+  PeerLink::OnStream OnAccepted;
   std::map<std::string, std::shared_ptr<PeerLink>> Links;
-  std::set<std::shared_ptr<PeerLink>> Accepted;
+  std::set<std::shared_ptr<PeerLink>> AcceptedLinks;
   bool Closed = false;
 };
 
@@ -66,7 +66,7 @@
   try {
     close();
   } catch (const std::exception &) {
-    // Memory has run out; the links end with their connections.
+    // Memory has run out. The links end when their connections do.
   }
 }
 
@@ -77,11 +77,11 @@
     if (self->Closed)
       return;
     if (!ec) {
-      self->add(std::move(socket));
+      self->addAccepted(std::move(socket));
       return self->accept();
     }
-    self->Retry.expires_after(AcceptRetry);
-    self->Retry.async_wait([self](asio::error_code) {
+    self->RetryTimer.expires_after(AcceptRetryDelay);
+    self->RetryTimer.async_wait([self](asio::error_code) {
       std::lock_guard again(self->Mutex);
       if (!self->Closed)
         self->accept();
@@ -89,21 +89,22 @@
   });
 }
 
-void PeerNet::Shared::add(asio::ip::tcp::socket socket) {
+void PeerNet::Shared::addAccepted(asio::ip::tcp::socket socket) {
   auto strand = asio::make_strand(Context);
-  auto link = std::make_shared<PeerLink>(std::move(socket), strand, Accept);
-  link->OnShut = [state = weak_from_this(), weak = std::weak_ptr(link)] {
+  auto link = std::make_shared<PeerLink>(std::move(socket), strand, OnAccepted);
+  link->OnUnusable = [state = weak_from_this(), weak = std::weak_ptr(link)] {
     auto self = state.lock();
     if (!self)
       return;
     std::lock_guard guard(self->Mutex);
-    self->Accepted.erase(weak.lock());
+    self->AcceptedLinks.erase(weak.lock());
   };
-  Accepted.insert(link);
+  AcceptedLinks.insert(link);
   asio::post(strand, [link] { link->start(); });
 }
 
-std::shared_ptr<PeerLink> PeerNet::Shared::linkTo(const std::string &address) {
+std::shared_ptr<PeerLink>
+PeerNet::Shared::findOrConnect(const std::string &address) {
   std::lock_guard lock(Mutex);
   if (Closed)
     return nullptr;
@@ -119,8 +120,8 @@
   auto strand = asio::make_strand(Context);
   auto link = std::make_shared<PeerLink>(asio::ip::tcp::socket(strand), strand,
                                          nullptr);
-  link->OnShut = [state = weak_from_this(), address,
-                  weak = std::weak_ptr(link)] {
+  link->OnUnusable = [state = weak_from_this(), address,
+                      weak = std::weak_ptr(link)] {
     auto self = state.lock();
     if (!self)
       return;
@@ -137,10 +138,10 @@
 std::shared_ptr<PeerStream> PeerNet::open(const std::string &address,
                                           std::string path, std::string message,
                                           PeerHooks hooks) {
-  auto link = State->linkTo(address);
+  auto link = State->findOrConnect(address);
   auto stream = std::make_shared<PeerStream>(link, std::move(path));
   if (!link) {
-    // As with any other stream, the end is not told from inside the call.
+    // As for any other stream, OnClosed is not called from within the call.
     asio::post(State->Context, [stream, closed = std::move(hooks.OnClosed)] {
       if (closed)
         closed(false);
@@ -164,7 +165,7 @@
     link = it->second;
     State->Links.erase(it);
   }
-  link->shut();
+  link->abort();
 }
 
 void PeerNet::close() {
@@ -174,13 +175,14 @@
     State->Closed = true;
     for (auto &[address, link] : State->Links)
       links.push_back(link);
-    links.insert(links.end(), State->Accepted.begin(), State->Accepted.end());
+    links.insert(links.end(), State->AcceptedLinks.begin(),
+                 State->AcceptedLinks.end());
     asio::error_code ec;
     State->Acceptor.close(ec);
-    State->Retry.cancel();
+    State->RetryTimer.cancel();
   }
   for (auto &link : links)
-    link->shut();
+    link->abort();
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Peer/PeerNet.h
+++ b/Hemlockglade/Transport/Peer/PeerNet.h
@@ -8,17 +8,18 @@
 
 namespace hemlockglade {
 
-/// What a stream's opener wants to hear.
+/// Hooks of a stream that this node opens.
 struct PeerHooks {
   std::function<void(std::string_view message)> OnMessage;
   std::function<void(bool clean)> OnClosed;
 };
 
-/// A node's end of the network between nodes: listens for streams of its
-/// peers and opens streams to them, over one connection a peer.
+/// A node's side of the network between nodes: accepts streams from its peers
+/// and opens streams to them over one connection per peer. Safe to use from any
+/// thread.
 class PeerNet {
 public:
-  /// Listens on `address:port`; port 0 lets the kernel choose. Throws
+  /// Listens on `address:port`; port 0 stands for any free port. Throws
   /// asio::system_error if the address can't be bound.
   PeerNet(asio::io_context &context, const std::string &address,
           std::uint16_t port, PeerLink::OnStream onStream);
@@ -28,12 +29,12 @@
 
   std::uint16_t port() const { return Port; }
 
-  /// Opens a stream to `ip:port` and sends its first message. If that can't
-  /// be done, the stream ends, which OnClosed is told later.
+  /// Opens a stream to `ip:port` and sends its first message. If this fails,
+  /// OnClosed is called later, never from within the call.
   std::shared_ptr<PeerStream> open(const std::string &address, std::string path,
                                    std::string message, PeerHooks hooks);
-  /// Breaks the connection to a peer that has gone silent, so that the next
-  /// stream gets a new one.
+  /// Breaks the connection to a peer that does not respond, so that the next
+  /// stream uses a new one.
   void drop(const std::string &address);
   /// Stops listening and breaks all connections.
   void close();
@@ -45,7 +46,7 @@
   std::shared_ptr<Shared> State;
 };
 
-/// Reads `ip:port`. Throws asio::system_error if it is neither.
+/// Parses `ip:port`. Throws asio::system_error if it is malformed.
 asio::ip::tcp::endpoint parseEndpoint(const std::string &address);
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Platform/PlatformClient.cpp
+++ b/Hemlockglade/Transport/Platform/PlatformClient.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 constexpr Span TableTimeout = std::chrono::seconds(2);
-constexpr int NotFound = 404;
+constexpr int NotFoundStatus = 404;
 constexpr int Conflict = 409;
-constexpr int Ok = 200;
+constexpr int OkStatus = 200;
 
 HttpRequest request(std::string method, std::string url, std::string body) {
   HttpRequest out;
@@ -18,7 +18,7 @@
   return out;
 }
 
-TableError failure(const HttpResult &result) {
+TableError errorOf(const HttpResult &result) {
   return result.MayHaveSent ? TableError::Ambiguous : TableError::NotSent;
 }
 
@@ -35,11 +35,11 @@
     Client.fetch(request("GET", url, ""),
                  [done = std::move(done)](const HttpResult &result,
                                           const std::string &body) {
-                   if (result.Whole && result.Status == NotFound)
+                   if (result.Whole && result.Status == NotFoundStatus)
                      return done(std::optional<TableRow>());
                    auto row = platform_format::readRow(body);
-                   if (!result.Whole || result.Status != Ok || !row)
-                     return done(tl::unexpected(failure(result)));
+                   if (!result.Whole || result.Status != OkStatus || !row)
+                     return done(tl::unexpected(errorOf(result)));
                    done(std::optional<TableRow>(std::move(*row)));
                  });
   };
@@ -50,8 +50,8 @@
                  [done = std::move(done)](const HttpResult &result,
                                           const std::string &body) {
                    auto rows = platform_format::readRows(body);
-                   if (!result.Whole || result.Status != Ok || !rows)
-                     return done(tl::unexpected(failure(result)));
+                   if (!result.Whole || result.Status != OkStatus || !rows)
+                     return done(tl::unexpected(errorOf(result)));
                    done(std::move(*rows));
                  });
   };
@@ -61,12 +61,12 @@
     Client.fetch(request("POST", Url + "/table/commit", std::move(body)),
                  [done = std::move(done)](const HttpResult &result,
                                           const std::string &) {
-                   // This table does not tell the rows' new versions.
-                   if (result.Whole && result.Status == Ok)
+                   // This table's answer does not hold the rows' new versions.
+                   if (result.Whole && result.Status == OkStatus)
                      return done(0);
                    if (result.Whole && result.Status == Conflict)
                      return done(tl::unexpected(TableError::Conflict));
-                   done(tl::unexpected(failure(result)));
+                   done(tl::unexpected(errorOf(result)));
                  });
   };
   return hooks;
@@ -77,8 +77,8 @@
                [done = std::move(done)](const HttpResult &result,
                                         const std::string &body) {
                  auto hosts = readHostList(body);
-                 if (!result.Whole || result.Status != Ok || !hosts)
-                   return done(tl::unexpected(failure(result)));
+                 if (!result.Whole || result.Status != OkStatus || !hosts)
+                   return done(tl::unexpected(errorOf(result)));
                  done(std::move(*hosts));
                });
 }
@@ -89,7 +89,7 @@
   Client.fetch(
       request("PUT", url, std::move(data)),
       [done = std::move(done)](const HttpResult &result, const std::string &) {
-        done(result.Whole && result.Status == Ok);
+        done(result.Whole && result.Status == OkStatus);
       });
 }
 
@@ -100,7 +100,7 @@
   Client.fetch(
       request("GET", url, ""),
       [done = std::move(done)](const HttpResult &result, std::string body) {
-        if (!result.Whole || result.Status != Ok)
+        if (!result.Whole || result.Status != OkStatus)
           return done(std::nullopt);
         done(std::move(body));
       });
--- a/Hemlockglade/Transport/Platform/PlatformClient.h
+++ b/Hemlockglade/Transport/Platform/PlatformClient.h
@@ -8,25 +8,27 @@
 
 namespace hemlockglade {
 
-/// Speaks to the platform: its table and its host list.
+/// Client of the platform's table, host list and object store.
 class PlatformClient {
 public:
-  /// `url` is the platform's base, `http://ip:port`.
+  /// `url` is the platform's base URL, `http://ip:port`.
   PlatformClient(HttpClient &client, std::string url);
 
-  /// The table as the coordination layer uses it.
+  /// Returns the table operations for the coordination layer.
   TableHooks table();
 
-  /// The list of hosts and endpoints; it lags behind the truth.
+  /// Reads the list of hosts and endpoints, which may be out of date.
   void hosts(TableCallback<std::vector<HostEntry>> done);
 
-  /// Puts an object into the object store; tells whether it is there.
+  /// Puts an object into the object store. `done` gets whether the store
+  /// confirmed it.
   void putObject(const std::string &name, std::string data,
                  std::function<void(bool)> done);
-  /// Gets an object; nothing if it isn't there or the store is away.
+  /// Gets an object. `done` gets nothing if the object does not exist or the
+  /// store is not available.
   void getObject(const std::string &name,
                  std::function<void(std::optional<std::string>)> done);
-  /// Removes an object; nothing waits for it.
+  /// Removes an object without reporting the result.
   void dropObject(const std::string &name);
 
 private:
--- a/Hemlockglade/Transport/Time/TimerService.cpp
+++ b/Hemlockglade/Transport/Time/TimerService.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// A repeating timer. The running wait keeps it alive until cancelled.
-class Ticker : public std::enable_shared_from_this<Ticker> {
+/// A periodic timer. It is owned by its subscription; the running wait has only
+/// a weak reference to it.
+class PeriodicTimer : public std::enable_shared_from_this<PeriodicTimer> {
 public:
-  Ticker(asio::io_context &context, Span period, TimerService::Hook hook)
-      : Timer(context), Period(period), Call(std::move(hook)) {}
+  PeriodicTimer(asio::io_context &context, Span period, TimerService::Hook hook)
+      : Timer(context), Period(period), OnTick(std::move(hook)) {}
 
   void arm() {
     Timer.expires_after(Period);
@@ -19,7 +20,7 @@
       auto self = weak.lock();
       if (ec || !self)
         return;
-      self->Call(TimerService::now());
+      self->OnTick(TimerService::now());
       self->arm();
     });
   }
@@ -27,7 +28,7 @@
 private:
   asio::steady_timer Timer;
   Span Period;
-  TimerService::Hook Call;
+  TimerService::Hook OnTick;
 };
 
 } // namespace
@@ -42,9 +43,10 @@
 }
 
 TimerService::Subscription TimerService::every(Span period, Hook hook) {
-  auto ticker = std::make_shared<Ticker>(Context, period, std::move(hook));
-  ticker->arm();
-  return ticker;
+  auto timer =
+      std::make_shared<PeriodicTimer>(Context, period, std::move(hook));
+  timer->arm();
+  return timer;
 }
 
 void TimerService::after(Span delay, Hook hook) {
--- a/Hemlockglade/Transport/Time/TimerService.h
+++ b/Hemlockglade/Transport/Time/TimerService.h
@@ -8,9 +8,9 @@
 
 namespace hemlockglade {
 
-/// The daemon's clock and timers. Parts subscribe to be called again and
-/// again, or once. It counts time that the host spends suspended, so that a
-/// lease does not outlive a pause unnoticed.
+/// The daemon's clock and timers, periodic and one-shot. The clock includes the
+/// time that the host is suspended, so that a lease also expires during a
+/// suspension.
 class TimerService {
 public:
   using Hook = std::function<void(Instant now)>;
@@ -19,13 +19,13 @@
 
   explicit TimerService(asio::io_context &context);
 
-  /// Time since boot, suspension included.
+  /// Returns the time since boot, including suspension.
   static Instant now();
 
-  /// Calls the hook every `period` until the subscription is dropped.
+  /// Calls the hook every `period` until the subscription is destroyed.
   [[nodiscard]] Subscription every(Span period, Hook hook);
 
-  /// Calls the hook once after `delay`; it can't be taken back.
+  /// Calls the hook once after `delay`; it can't be cancelled.
   void after(Span delay, Hook hook);
 
 private:
--- a/Hemlockglade/Transport/Transport.h
+++ b/Hemlockglade/Transport/Transport.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The public header of the Transport layer: time, HTTP and peer streams.
+// The public header of the Transport layer: timers, HTTP and streams between
+// nodes.
 
 #include "Hemlockglade/Transport/Endpoint/EngineClient.h"
 #include "Hemlockglade/Transport/Http/HttpClient.h"
