--- a/Hemlockglade/State/Log/EventLog.h
+++ b/Hemlockglade/State/Log/EventLog.h
@@ -55,8 +55,8 @@
 class EventLog {
 public:
   using Sink = std::function<void(std::string_view line)>;
-  /// Returns the current time in microseconds. It stamps the lines and tells
-  /// one second of the limits from the next.
+  /// Returns the current time in microseconds. Lines are stamped with it, and
+  /// the limits apply per second of it.
   using Clock = std::function<std::chrono::microseconds()>;
 
   struct Settings {
--- a/Hemlockglade/Transport/Http/HttpServer.h
+++ b/Hemlockglade/Transport/Http/HttpServer.h
@@ -47,7 +47,8 @@
   virtual void sendPart(std::string part, std::function<void(bool)> sent) = 0;
   /// Ends an answer that was sent in parts.
   virtual void finishStream() = 0;
-  /// Breaks the connection, so that the caller sees an incomplete answer.
+  /// Breaks the connection, so that the answer is incomplete for the
+  /// caller.
   virtual void abort() = 0;
   /// Sets the hook that is called once if the caller disconnects.
   virtual void onGone(std::function<void()> gone) = 0;
--- a/Hemlockglade/Transport/Http1/CallerConnection.cpp
+++ b/Hemlockglade/Transport/Http1/CallerConnection.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// Bytes that a caller may send ahead while its request is being answered;
-/// beyond it the connection is not read, and its end not seen.
-constexpr std::size_t MaxAhead = std::size_t{64} * 1024;
-constexpr std::uint16_t BadRequest = 400;
+/// Bytes that a caller may send ahead while its request is being answered.
+/// Beyond it the connection is not read, so a disconnect is not noticed.
+constexpr std::size_t MaxUnparsedBytes = std::size_t{64} * 1024;
+constexpr std::uint16_t BadRequestStatus = 400;
 constexpr std::uint16_t RequestTimeout = 408;
-constexpr std::uint16_t BodyTooLarge = 413;
-constexpr std::uint16_t HeadTooLarge = 431;
+constexpr std::uint16_t BodyTooLargeStatus = 413;
+constexpr std::uint16_t HeadTooLargeStatus = 431;
 
-std::string hexNumber(std::size_t n) {
+std::string toHex(std::size_t n) {
   constexpr std::string_view Digits = "0123456789abcdef";
   std::string out;
   do {
@@ -37,14 +37,14 @@
 
 CallerReply::CallerReply(std::shared_ptr<CallerConnection> connection)
     : Connection(std::move(connection)) {
-  Connection->Active = this;
+  Connection->ActiveReply = this;
 }
 
 CallerReply::~CallerReply() {
   try {
     abort();
   } catch (const std::exception &) {
-    // Memory has run out; the connection ends with its last owner.
+    // Memory has run out. The connection closes with its last reference.
   }
 }
 
@@ -54,14 +54,14 @@
   std::erase_if(head.Fields,
                 [](const auto &it) { return isConnectionField(it.Name); });
   head.Fields.push_back({"Content-Length", std::to_string(body.size())});
-  if (Connection->EndsAfterWrite)
+  if (Connection->ClosesAfterWrite)
     head.Fields.push_back({"Connection", "close"});
   auto text = writeHead(head);
-  if (!Connection->HeadRequest)
+  if (!Connection->IsHeadRequest)
     text.append(body);
   auto connection = std::exchange(Connection, nullptr);
   connection->send(text);
-  connection->answered();
+  connection->onAnswerComplete();
 }
 
 void CallerReply::begin(HttpAnswerHead head) {
@@ -70,7 +70,7 @@
   std::erase_if(head.Fields,
                 [](const auto &it) { return isConnectionField(it.Name); });
   head.Fields.push_back({"Transfer-Encoding", "chunked"});
-  if (Connection->EndsAfterWrite)
+  if (Connection->ClosesAfterWrite)
     head.Fields.push_back({"Connection", "close"});
   Connection->send(writeHead(head));
 }
@@ -78,7 +78,7 @@
 void CallerReply::part(std::string_view bytes) {
   if (!Connection || bytes.empty())
     return;
-  std::string chunk = hexNumber(bytes.size());
+  std::string chunk = toHex(bytes.size());
   chunk.append("\r\n").append(bytes).append("\r\n");
   Connection->send(chunk);
 }
@@ -88,14 +88,14 @@
   if (!connection)
     return;
   connection->send("0\r\n\r\n");
-  connection->answered();
+  connection->onAnswerComplete();
 }
 
 void CallerReply::abort() {
   auto connection = std::exchange(Connection, nullptr);
   if (!connection)
     return;
-  connection->Active = nullptr;
+  connection->ActiveReply = nullptr;
   connection->abort();
 }
 
@@ -117,21 +117,22 @@
 void CallerConnection::start() {
   setUpSocket(Socket, {});
   Bounds = Hooks->Bounds();
-  Reader.limitHead(Bounds.MaxHeadBytes);
+  Reader.setMaxHeadBytes(Bounds.MaxHeadBytes);
   armTimer(Bounds.IdleTimeout, true);
   read();
 }
 
 bool CallerConnection::idle() const {
-  return !Active && Reader.state() == HttpReader::State::Idle && !Writing;
+  return !ActiveReply && Reader.state() == HttpReader::State::Idle &&
+         !IsWriting;
 }
 
 void CallerConnection::armTimer(Span span, bool betweenRequests) {
-  Timed = true;
+  IsTimerArmed = true;
   Timer.expires_after(span);
   Timer.async_wait(
       [self = shared_from_this(), betweenRequests](asio::error_code ec) {
-        if (ec || self->Shut || !self->Timed)
+        if (ec || self->IsClosed || !self->IsTimerArmed)
           return;
         if (betweenRequests)
           self->abort();
@@ -141,137 +142,137 @@
 }
 
 void CallerConnection::read() {
-  if (Reading || Shut || Ahead.size() > MaxAhead)
+  if (IsReading || IsClosed || Unparsed.size() > MaxUnparsedBytes)
     return;
-  Reading = true;
+  IsReading = true;
   Socket.async_read_some(
       asio::buffer(Buffer),
       [self = shared_from_this()](asio::error_code ec, std::size_t n) {
-        self->Reading = false;
-        if (self->Shut)
+        self->IsReading = false;
+        if (self->IsClosed)
           return;
         if (ec)
-          return self->onGone();
+          return self->onDisconnect();
         self->onBytes({self->Buffer.data(), n});
         self->read();
       });
 }
 
 void CallerConnection::onBytes(std::string_view bytes) {
-  Ahead.append(bytes);
-  if (!Active && !EndsAfterWrite)
+  Unparsed.append(bytes);
+  if (!ActiveReply && !ClosesAfterWrite)
     parse();
 }
 
 void CallerConnection::parse() {
-  auto bytes = std::exchange(Ahead, {});
+  auto bytes = std::exchange(Unparsed, {});
   std::string_view rest = bytes;
-  while (!rest.empty() && !Active && !Shut && !EndsAfterWrite) {
+  while (!rest.empty() && !ActiveReply && !IsClosed && !ClosesAfterWrite) {
     if (Reader.state() == HttpReader::State::Idle) {
       Bounds = Hooks->Bounds();
-      Reader.limitHead(Bounds.MaxHeadBytes);
+      Reader.setMaxHeadBytes(Bounds.MaxHeadBytes);
       armTimer(Bounds.RequestTimeout, false);
     }
     rest.remove_prefix(Reader.feed(rest));
     if (Reader.state() == HttpReader::State::Broken)
       return Reader.headTooLarge()
-                 ? refuse(HeadTooLarge, "the head is too large")
-                 : refuse(BadRequest, "this is no HTTP/1.1 request");
+                 ? refuse(HeadTooLargeStatus, "the head is too large")
+                 : refuse(BadRequestStatus, "this is no HTTP/1.1 request");
     if (Body.size() > Bounds.MaxBodyBytes)
-      return refuse(BodyTooLarge, "the body is too large");
-    if (Reader.state() == HttpReader::State::InBody && !SentContinue) {
+      return refuse(BodyTooLargeStatus, "the body is too large");
+    if (Reader.state() == HttpReader::State::InBody && !HasSentContinue) {
       const auto *expect = findField(Reader.request().Fields, "Expect");
-      SentContinue = true;
+      HasSentContinue = true;
       if (expect && sameFieldName(*expect, "100-continue"))
         send("HTTP/1.1 100 Continue\r\n\r\n");
     }
     if (Reader.state() == HttpReader::State::Complete)
       startRequest();
   }
-  Ahead.insert(0, rest);
+  Unparsed.insert(0, rest);
 }
 
 void CallerConnection::startRequest() {
-  Timed = false;
+  IsTimerArmed = false;
   Timer.cancel();
   KeepsAlive = Reader.keepsAlive();
   CallerRequest request{Reader.takeRequest(), std::exchange(Body, {}),
                         TimerService::now()};
-  SentContinue = false;
+  HasSentContinue = false;
   Reader.next();
-  // A host named twice would be another one further on.
+  // With two Host fields, a server further on could use the other one.
   if (countFields(request.Head.Fields, "Host") != 1)
-    return refuse(BadRequest, "not one host");
-  HeadRequest = request.Head.Method == "HEAD";
-  EndsAfterWrite = !KeepsAlive || Hooks->Closing();
+    return refuse(BadRequestStatus, "not one host");
+  IsHeadRequest = request.Head.Method == "HEAD";
+  ClosesAfterWrite = !KeepsAlive || Hooks->Closing();
   auto reply = std::make_shared<CallerReply>(shared_from_this());
   Hooks->OnRequest(std::move(request), std::move(reply));
 }
 
 void CallerConnection::refuse(std::uint16_t status, std::string_view why) {
-  Timed = false;
+  IsTimerArmed = false;
   Timer.cancel();
   if (Hooks->OnRefused)
     Hooks->OnRefused(status, why);
   HttpAnswerHead head{status, {}};
   head.Fields.push_back({"Content-Length", "0"});
   head.Fields.push_back({"Connection", "close"});
-  EndsAfterWrite = true;
+  ClosesAfterWrite = true;
   send(writeHead(head));
-  answered();
+  onAnswerComplete();
 }
 
 void CallerConnection::send(std::string_view bytes) {
-  if (Shut)
+  if (IsClosed)
     return;
   Outgoing.append(bytes);
   write();
 }
 
 void CallerConnection::write() {
-  if (Writing || Shut)
+  if (IsWriting || IsClosed)
     return;
   auto result = Outgoing.writeTo(Socket);
   if (result == OutgoingBytes::Result::Broken) {
-    asio::post(Context, [self = shared_from_this()] { self->onGone(); });
+    asio::post(Context, [self = shared_from_this()] { self->onDisconnect(); });
     return;
   }
   if (result == OutgoingBytes::Result::Done) {
-    if (Active && Active->OnDrained)
-      Active->OnDrained();
-    if (!Active && EndsAfterWrite)
+    if (ActiveReply && ActiveReply->OnDrained)
+      ActiveReply->OnDrained();
+    if (!ActiveReply && ClosesAfterWrite)
       abort();
     return;
   }
-  Writing = true;
+  IsWriting = true;
   Socket.async_wait(asio::socket_base::wait_write,
                     [self = shared_from_this()](asio::error_code ec) {
-                      self->Writing = false;
+                      self->IsWriting = false;
                       if (!ec)
                         self->write();
                     });
 }
 
-void CallerConnection::answered() {
-  Active = nullptr;
-  if (Shut)
+void CallerConnection::onAnswerComplete() {
+  ActiveReply = nullptr;
+  if (IsClosed)
     return;
-  if (EndsAfterWrite) {
+  if (ClosesAfterWrite) {
     if (Outgoing.empty())
       abort();
     return;
   }
   armTimer(Bounds.IdleTimeout, true);
-  if (!Ahead.empty())
+  if (!Unparsed.empty())
     asio::post(Context, [self = shared_from_this()] {
-      if (!self->Active && !self->Shut)
+      if (!self->ActiveReply && !self->IsClosed)
         self->parse();
       self->read();
     });
 }
 
-void CallerConnection::onGone() {
-  auto *reply = std::exchange(Active, nullptr);
+void CallerConnection::onDisconnect() {
+  auto *reply = std::exchange(ActiveReply, nullptr);
   std::function<void()> hook;
   std::shared_ptr<CallerConnection> keep;
   if (reply) {
@@ -284,13 +285,14 @@
 }
 
 void CallerConnection::abort() {
-  if (std::exchange(Shut, true))
+  if (std::exchange(IsClosed, true))
     return;
   Timer.cancel();
   asio::error_code ec;
-  // A plain close sends what the kernel still holds of a finished answer.
-  bool finished = !Active && Outgoing.empty();
-  if (finished) {
+  // A regular close still sends the bytes of a complete answer that the kernel
+  // has buffered; a reset drops them.
+  bool isAnswerComplete = !ActiveReply && Outgoing.empty();
+  if (isAnswerComplete) {
     Socket.shutdown(asio::ip::tcp::socket::shutdown_send, ec);
     Socket.close(ec);
   } else {
--- a/Hemlockglade/Transport/Http1/CallerConnection.h
+++ b/Hemlockglade/Transport/Http1/CallerConnection.h
@@ -14,25 +14,25 @@
 
 class CallerConnection;
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of a caller's requests.
 struct CallerBounds {
   std::size_t MaxHeadBytes = std::size_t{16} * 1024;
   std::size_t MaxBodyBytes = std::size_t{4} * 1024 * 1024;
-  /// Time from a request's first byte to its last.
+  /// Timeout from a request's first byte to its last.
   Span RequestTimeout = std::chrono::seconds(3);
-  /// Time that a connection may rest between requests.
+  /// Timeout of a connection that is idle between requests.
   Span IdleTimeout = std::chrono::seconds(15);
 };
 
-/// A whole request of a caller.
+/// A complete request of a caller.
 struct CallerRequest {
   HttpRequestHead Head;
   std::string Body;
   Instant ArrivedAt{};
 };
 
-/// Where a request's answer goes. It ends with `finish`, `respond` or `abort`;
-/// one that is dropped without any of them aborts the connection.
+/// Sends the answer to one request. An answer ends with `finish`, `respond` or
+/// `abort`; destroying the reply without any of them aborts the connection.
 class CallerReply {
 public:
   explicit CallerReply(std::shared_ptr<CallerConnection> connection);
@@ -40,18 +40,19 @@
   CallerReply(const CallerReply &) = delete;
   CallerReply &operator=(const CallerReply &) = delete;
 
-  /// Sends a whole answer; its framing is added.
+  /// Sends a complete answer and adds its framing.
   void respond(HttpAnswerHead head, std::string_view body);
-  /// Begins an answer whose body comes in parts.
+  /// Begins an answer whose body is sent in parts.
   void begin(HttpAnswerHead head);
   void part(std::string_view bytes);
   void finish();
-  /// Breaks the connection, so that the answer can't look complete.
+  /// Breaks the connection, so that the caller can't take the answer for
+  /// complete.
   void abort();
 
-  /// Bytes that wait for the caller to read.
+  /// Returns the number of bytes that are not written to the socket yet.
   std::size_t queued() const;
-  /// Called once if the caller leaves before the answer is complete.
+  /// Called once if the caller disconnects before the answer is complete.
   std::function<void()> OnGone;
   /// Called when all queued bytes have been sent.
   std::function<void()> OnDrained;
@@ -61,27 +62,29 @@
   std::shared_ptr<CallerConnection> Connection;
 };
 
-/// What the server of a connection does with requests.
+/// Hooks of the server for its connections.
 struct CallerHooks {
   std::function<CallerBounds()> Bounds;
   std::function<void(CallerRequest request, std::shared_ptr<CallerReply> reply)>
       OnRequest;
-  /// Whether answers should end their connection.
+  /// Returns whether answers should close their connection.
   std::function<bool()> Closing;
-  /// A request was refused before it was complete, with this status.
+  /// Called when a request was refused with this status before it reached
+  /// OnRequest.
   std::function<void(std::uint16_t status, std::string_view why)> OnRefused;
 };
 
-/// A caller's connection: reads requests one at a time, answers in order.
+/// A caller's connection. It handles one request at a time, so that answers are
+/// sent in order.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
 public:
   CallerConnection(asio::io_context &context, asio::ip::tcp::socket socket,
                    std::shared_ptr<const CallerHooks> hooks);
 
   void start();
-  /// Ends the connection at once.
+  /// Closes the connection at once.
   void abort();
-  /// Whether no request is being read or answered.
+  /// Returns whether no request is being read or answered.
   bool idle() const;
   std::function<void()> OnClosed;
 
@@ -95,8 +98,8 @@
   void refuse(std::uint16_t status, std::string_view why);
   void send(std::string_view bytes);
   void write();
-  void answered();
-  void onGone();
+  void onAnswerComplete();
+  void onDisconnect();
   void armTimer(Span span, bool betweenRequests);
 
   asio::io_context &Context;
@@ -106,19 +109,20 @@
   HttpReader Reader{HttpReader::Side::Requests};
   CallerBounds Bounds;
   std::string Body;
-  /// Bytes that came behind the request that is being answered.
-  std::string Ahead;
+  /// Received bytes that are not parsed yet, such as those after the request
+  /// that is being answered.
+  std::string Unparsed;
   OutgoingBytes Outgoing;
   std::array<char, 8192> Buffer{};
-  CallerReply *Active = nullptr;
-  bool HeadRequest = false;
-  bool Reading = false;
-  bool Writing = false;
+  CallerReply *ActiveReply = nullptr;
+  bool IsHeadRequest = false;
+  bool IsReading = false;
+  bool IsWriting = false;
   bool KeepsAlive = true;
-  bool EndsAfterWrite = false;
-  bool SentContinue = false;
-  bool Timed = false;
-  bool Shut = false;
+  bool ClosesAfterWrite = false;
+  bool HasSentContinue = false;
+  bool IsTimerArmed = false;
+  bool IsClosed = false;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Http1/CallerServer.cpp
+++ b/Hemlockglade/Transport/Http1/CallerServer.cpp
@@ -4,22 +4,23 @@
 
 namespace {
 
-/// Pause before accepting again when no descriptor is free.
-constexpr auto AcceptRetry = std::chrono::milliseconds(50);
+/// Delay before accepting again after a failure, such as when no descriptor is
+/// free.
+constexpr auto AcceptRetryDelay = std::chrono::milliseconds(50);
 
 } // namespace
 
 CallerServer::CallerServer(asio::io_context &context,
                            const asio::ip::tcp::endpoint &address,
                            std::size_t maxConnections, CallerHooks hooks)
-    : Context(context), Acceptor(context, address), Retry(context),
+    : Context(context), Acceptor(context, address), RetryTimer(context),
       MaxConnections(maxConnections),
       Hooks(std::make_shared<const CallerHooks>(std::move(hooks))) {
   accept();
 }
 
 CallerServer::~CallerServer() {
-  *Alive = false;
+  *IsAlive = false;
   asio::error_code ec;
   Acceptor.close(ec);
   auto open = std::move(Connections);
@@ -30,13 +31,13 @@
 }
 
 void CallerServer::accept() {
-  Acceptor.async_accept([this, alive = Alive](asio::error_code ec,
-                                              asio::ip::tcp::socket socket) {
+  Acceptor.async_accept([this, alive = IsAlive](asio::error_code ec,
+                                                asio::ip::tcp::socket socket) {
     if (!*alive)
       return;
     if (ec) {
-      Retry.expires_after(AcceptRetry);
-      Retry.async_wait([this, alive](asio::error_code) {
+      RetryTimer.expires_after(AcceptRetryDelay);
+      RetryTimer.async_wait([this, alive](asio::error_code) {
         if (*alive)
           accept();
       });
--- a/Hemlockglade/Transport/Http1/CallerServer.h
+++ b/Hemlockglade/Transport/Http1/CallerServer.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade {
 
-/// Listens on one address and serves the connections that come.
+/// Listens on one address and serves the connections of callers.
 class CallerServer {
 public:
   /// Throws asio::system_error if the address can't be bound.
@@ -18,7 +18,7 @@
 
   std::uint16_t port() const { return Acceptor.local_endpoint().port(); }
   std::size_t connections() const { return Connections.size(); }
-  /// Ends the connections that rest between requests.
+  /// Closes the connections that are idle between requests.
   void closeIdle();
 
 private:
@@ -26,12 +26,12 @@
 
   asio::io_context &Context;
   asio::ip::tcp::acceptor Acceptor;
-  asio::steady_timer Retry;
+  asio::steady_timer RetryTimer;
   std::size_t MaxConnections;
   std::shared_ptr<const CallerHooks> Hooks;
   std::unordered_set<std::shared_ptr<CallerConnection>> Connections;
-  /// Tells handlers that come late whether the server still lives.
-  std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
+  /// False once the server is destroyed; pending handlers check it.
+  std::shared_ptr<bool> IsAlive = std::make_shared<bool>(true);
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Http1/HttpCaller.cpp
+++ b/Hemlockglade/Transport/Http1/HttpCaller.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// One call on its way.
-struct Running {
-  explicit Running(asio::io_context &context) : Timer(context) {}
+/// State of one call from its start to its result.
+struct PendingCall {
+  explicit PendingCall(asio::io_context &context) : Timer(context) {}
 
-  void end(tl::expected<HttpAnswer, HttpFailure> result) {
+  void finish(tl::expected<HttpAnswer, HttpFailure> result) {
     Timer.cancel();
     if (auto done = std::exchange(Done, nullptr))
       done(std::move(result));
@@ -20,7 +20,7 @@
   HttpCaller::Done Done;
 };
 
-std::string headOf(const HttpCall &call) {
+std::string writeRequestHead(const HttpCall &call) {
   HttpRequestHead head{call.Method, call.Target, call.Fields};
   auto host = call.Address.address().to_string() + ":" +
               std::to_string(call.Address.port());
@@ -33,42 +33,44 @@
 } // namespace
 
 void HttpCaller::call(const HttpCall &call, Done done) {
-  auto running = std::make_shared<Running>(Context);
-  running->Done = std::move(done);
-  running->Connection = Pool.take(call.Address);
-  running->Timer.expires_after(call.Timeout);
-  running->Timer.async_wait([this, running](asio::error_code ec) {
-    if (ec || !running->Done)
+  auto pending = std::make_shared<PendingCall>(Context);
+  pending->Done = std::move(done);
+  pending->Connection = Pool.take(call.Address);
+  pending->Timer.expires_after(call.Timeout);
+  pending->Timer.async_wait([this, pending](asio::error_code ec) {
+    if (ec || !pending->Done)
       return;
-    running->Connection->abort();
-    // What rested beside a connection that fell silent has mostly fallen silent
-    // with it; each such one would cost the next call its whole time-out.
-    Pool.drop(running->Connection->address());
-    running->end(tl::unexpected(HttpFailure::Broken));
+    pending->Connection->abort();
+    // If a connection stops responding, idle ones to the same address have
+    // mostly stopped too; each of them would cost a later call its whole
+    // timeout.
+    Pool.drop(pending->Connection->address());
+    pending->finish(tl::unexpected(HttpFailure::Broken));
   });
   HttpCallHooks hooks;
-  hooks.OnHead = [running](const HttpAnswerHead &head) {
-    running->Answer.Head = head;
+  hooks.OnHead = [pending](const HttpAnswerHead &head) {
+    pending->Answer.Head = head;
     return true;
   };
-  hooks.OnBody = [running, most = call.MaxAnswer](std::string_view part) {
-    running->Answer.Body.append(part);
-    if (running->Answer.Body.size() <= most)
+  hooks.OnBody = [pending,
+                  maxBytes = call.MaxAnswerBytes](std::string_view part) {
+    pending->Answer.Body.append(part);
+    if (pending->Answer.Body.size() <= maxBytes)
       return;
-    running->Connection->abort();
-    running->end(tl::unexpected(HttpFailure::Broken));
+    pending->Connection->abort();
+    pending->finish(tl::unexpected(HttpFailure::Broken));
   };
-  hooks.OnDone = [this, running] {
-    if (!running->Done)
+  hooks.OnDone = [this, pending] {
+    if (!pending->Done)
       return;
-    Pool.give(running->Connection);
-    running->end(std::move(running->Answer));
+    Pool.give(pending->Connection);
+    pending->finish(std::move(pending->Answer));
   };
-  hooks.OnFailed = [running](HttpFailure how) {
-    running->end(tl::unexpected(how));
+  hooks.OnFailed = [pending](HttpFailure how) {
+    pending->finish(tl::unexpected(how));
   };
-  auto head = headOf(call);
-  running->Connection->call(head, call.Body, call.Method == "HEAD",
+  auto head = writeRequestHead(call);
+  pending->Connection->call(head, call.Body, call.Method == "HEAD",
                             std::move(hooks));
 }
 
--- a/Hemlockglade/Transport/Http1/HttpCaller.h
+++ b/Hemlockglade/Transport/Http1/HttpCaller.h
@@ -6,27 +6,27 @@
 
 namespace hemlockglade {
 
-/// A whole answer.
+/// A complete answer.
 struct HttpAnswer {
   HttpAnswerHead Head;
   std::string Body;
 };
 
-/// A short call with a whole request and a whole answer.
+/// A short call, whose request and answer are kept whole in memory.
 struct HttpCall {
   asio::ip::tcp::endpoint Address;
   std::string Method = "GET";
   std::string Target;
   HeaderFields Fields;
   std::string Body;
-  /// Time until the call is given up; its connection is reset then, so that
-  /// it can't arrive later.
+  /// Timeout of the call. Its connection is reset then, so that the request
+  /// can't arrive later.
   Span Timeout = std::chrono::seconds(1);
-  /// Bytes that an answer may have.
-  std::size_t MaxAnswer = std::size_t{8} * 1024 * 1024;
+  /// Maximum bytes of the answer's body.
+  std::size_t MaxAnswerBytes = std::size_t{8} * 1024 * 1024;
 };
 
-/// Makes short calls over kept connections.
+/// Makes short calls over pooled connections.
 class HttpCaller {
 public:
   using Done = std::function<void(tl::expected<HttpAnswer, HttpFailure>)>;
@@ -34,8 +34,9 @@
   HttpCaller(asio::io_context &context, HttpPool::Settings settings)
       : Context(context), Pool(context, settings) {}
 
-  /// Calls back later, never from inside.
+  /// Starts a call. `done` is called later, never from within this call.
   void call(const HttpCall &call, Done done);
+  /// Closes connections that have been idle for too long.
   void tidy() { Pool.tidy(); }
 
 private:
--- a/Hemlockglade/Transport/Http1/HttpConnection.cpp
+++ b/Hemlockglade/Transport/Http1/HttpConnection.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Answers below this status announce another one.
+/// Answers with a lower status are interim ones, which another one follows.
 constexpr std::uint16_t FirstFinalStatus = 200;
 
 } // namespace
@@ -18,12 +18,13 @@
                                asio::ip::tcp::endpoint address,
                                Settings settings)
     : Context(context), Socket(context), ConnectTimer(context),
-      Address(std::move(address)), Setup(settings) {
+      Address(std::move(address)), Options(settings) {
   Reader.OnHead = [this] { onHead(); };
   Reader.OnBody = [this](std::string_view part) {
-    // The hooks may end the call from inside; they live until they return.
+    // A hook may end the call; this copy keeps the hooks alive until it
+    // returns.
     auto hooks = Hooks;
-    if (hooks && hooks->OnBody && !Dropping)
+    if (hooks && hooks->OnBody && !IsDiscarding)
       hooks->OnBody(part);
   };
 }
@@ -31,12 +32,12 @@
 void HttpConnection::onHead() {
   auto hooks = Hooks;
   const auto &head = Reader.answer();
-  Dropping = head.Status < FirstFinalStatus;
-  if (Dropping || !hooks)
+  IsDiscarding = head.Status < FirstFinalStatus;
+  if (IsDiscarding || !hooks)
     return;
   readKeepAlive(head.Fields);
   if (hooks->OnHead && !hooks->OnHead(head))
-    Dropping = true;
+    IsDiscarding = true;
 }
 
 void HttpConnection::call(const std::string &head, const std::string &body,
@@ -45,11 +46,11 @@
   Outgoing = {};
   Outgoing.append(head);
   Outgoing.append(body);
-  Bodiless = bodiless;
-  Dropping = false;
+  IsBodiless = bodiless;
+  IsDiscarding = false;
   Reusable = true;
   Reader.next(bodiless);
-  if (Shut) {
+  if (IsClosed) {
     asio::post(Context, [self = shared_from_this()] {
       self->fail(HttpFailure::NotConnected);
     });
@@ -61,7 +62,7 @@
 }
 
 void HttpConnection::connect() {
-  Connecting = true;
+  IsConnecting = true;
   asio::error_code ec;
   Socket.open(Address.protocol(), ec);
   if (ec) {
@@ -70,15 +71,15 @@
     });
     return;
   }
-  setUpSocket(Socket, Setup.Silence);
-  ConnectTimer.expires_after(Setup.ConnectTimeout);
+  setUpSocket(Socket, Options.Silence);
+  ConnectTimer.expires_after(Options.ConnectTimeout);
   ConnectTimer.async_wait([self = shared_from_this()](asio::error_code ec) {
-    if (!ec && self->Connecting)
+    if (!ec && self->IsConnecting)
       self->fail(HttpFailure::NotConnected);
   });
   Socket.async_connect(
       Address, [self = shared_from_this()](asio::error_code ec) {
-        if (!std::exchange(self->Connecting, false) || self->Shut)
+        if (!std::exchange(self->IsConnecting, false) || self->IsClosed)
           return;
         self->ConnectTimer.cancel();
         if (ec)
@@ -90,53 +91,53 @@
 }
 
 void HttpConnection::write() {
-  if (Writing || Shut)
+  if (IsWriting || IsClosed)
     return;
   auto result = Outgoing.writeTo(Socket);
-  // An answer may have come before the connection broke; the reading side
-  // tells, so that it is not lost.
+  // An answer may have arrived before the connection broke. The failure is
+  // reported by reading, so that such an answer is not lost.
   if (result == OutgoingBytes::Result::Broken)
     Reusable = false;
   if (result != OutgoingBytes::Result::Waits)
     return;
-  Writing = true;
+  IsWriting = true;
   Socket.async_wait(asio::socket_base::wait_write,
                     [self = shared_from_this()](asio::error_code ec) {
-                      self->Writing = false;
+                      self->IsWriting = false;
                       if (!ec)
                         self->write();
                     });
 }
 
 void HttpConnection::pauseReading(bool paused) {
-  Paused = paused;
-  if (!Paused && Connected && !Shut)
+  IsPaused = paused;
+  if (!IsPaused && Connected && !IsClosed)
     read();
 }
 
 void HttpConnection::read() {
-  if (Reading || Paused || Shut)
+  if (IsReading || IsPaused || IsClosed)
     return;
-  Reading = true;
+  IsReading = true;
   Socket.async_read_some(
       asio::buffer(Buffer),
       [self = shared_from_this()](asio::error_code ec, std::size_t n) {
-        self->Reading = false;
-        if (self->Shut)
+        self->IsReading = false;
+        if (self->IsClosed)
           return;
         if (ec)
           return self->onEnd(ec);
         self->onBytes({self->Buffer.data(), n});
-        if (!self->Shut)
+        if (!self->IsClosed)
           self->read();
       });
 }
 
 void HttpConnection::onBytes(std::string_view bytes) {
-  while (!bytes.empty() && !Shut) {
+  while (!bytes.empty() && !IsClosed) {
     if (!Hooks) {
-      // Bytes that nobody asked for belong to no call.
-      shut();
+      // Without a call these bytes belong to no answer.
+      closeSocket();
       if (OnIdleEnd)
         OnIdleEnd();
       return;
@@ -153,27 +154,27 @@
 }
 
 void HttpConnection::onMessage() {
-  if (std::exchange(Dropping, false)) {
-    Reader.next(Bodiless);
+  if (std::exchange(IsDiscarding, false)) {
+    Reader.next(IsBodiless);
     return;
   }
   auto hooks = std::exchange(Hooks, nullptr);
   if (!hooks)
     return;
-  // An answer that came before the request was out leaves the rest of the
-  // request on the connection, where the next one would start.
+  // If the answer arrived before the whole request was sent, the rest of the
+  // request would be sent in front of the next one.
   if (!Reader.keepsAlive() || !Outgoing.empty())
     Reusable = false;
   IdleSince = TimerService::now();
   if (hooks->OnDone)
     hooks->OnDone();
   if (!Reusable && !Hooks)
-    shut();
+    closeSocket();
 }
 
 void HttpConnection::onEnd(asio::error_code ec) {
   if (!Hooks) {
-    shut();
+    closeSocket();
     if (OnIdleEnd)
       OnIdleEnd();
     return;
@@ -188,7 +189,7 @@
 }
 
 void HttpConnection::fail(HttpFailure how) {
-  shut();
+  closeSocket();
   if (!Hooks)
     return;
   auto hooks = std::exchange(Hooks, nullptr);
@@ -198,14 +199,14 @@
 
 void HttpConnection::abort() {
   Hooks.reset();
-  shut();
+  closeSocket();
 }
 
-void HttpConnection::shut() {
-  if (std::exchange(Shut, true))
+void HttpConnection::closeSocket() {
+  if (std::exchange(IsClosed, true))
     return;
   Connected = false;
-  Connecting = false;
+  IsConnecting = false;
   Reusable = false;
   ConnectTimer.cancel();
   resetSocket(Socket);
--- a/Hemlockglade/Transport/Http1/HttpConnection.h
+++ b/Hemlockglade/Transport/Http1/HttpConnection.h
@@ -13,25 +13,25 @@
 
 namespace hemlockglade {
 
-/// How a call over a connection failed.
+/// Reason for which a call over a connection failed.
 enum class HttpFailure : std::uint8_t {
-  /// No connection came about; nothing was sent.
+  /// No connection was established; nothing was sent.
   NotConnected,
-  /// The connection broke, or its answer was no HTTP, after bytes were sent.
+  /// The connection broke, or the answer was not HTTP, after bytes were sent.
   Broken,
-  /// The other side ended the connection where an answer was due.
+  /// The other side closed the connection before the answer was complete.
   Ended,
 };
 
-/// What the caller of a connection wants to hear of one answer.
+/// Hooks of one call.
 struct HttpCallHooks {
-  /// The answer's head. Returning false drops this answer and waits for the
-  /// next one on the connection.
+  /// Called with the answer's head. Returning false discards this answer; the
+  /// call then waits for the next one on the connection.
   std::function<bool(const HttpAnswerHead &head)> OnHead;
   std::function<void(std::string_view part)> OnBody;
-  /// The answer is complete.
+  /// Called when the answer is complete.
   std::function<void()> OnDone;
-  /// There will be no complete answer.
+  /// Called when there will be no complete answer.
   std::function<void(HttpFailure how)> OnFailed;
 };
 
@@ -40,9 +40,9 @@
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
 public:
   struct Settings {
-    /// Time for a connection to come about.
+    /// Timeout for establishing the connection.
     Span ConnectTimeout = std::chrono::milliseconds(400);
-    SilenceBounds Silence;
+    SilenceTimeouts Silence;
   };
 
   HttpConnection(asio::io_context &context, asio::ip::tcp::endpoint address,
@@ -51,26 +51,30 @@
   HttpConnection &operator=(const HttpConnection &) = delete;
 
   /// Sends a request, connecting first if needed. The hooks are called later,
-  /// never from inside, until OnDone or OnFailed.
+  /// never from within this call; OnDone or OnFailed is the last one.
+  /// `bodiless` says that the answer has no body whatever its head says, as to
+  /// HEAD.
   void call(const std::string &head, const std::string &body, bool bodiless,
             HttpCallHooks hooks);
-  /// Ends the connection at once; no hook is called any more.
+  /// Closes the connection at once; no hook is called any more.
   void abort();
-  /// Stops and resumes reading of the answer, for a slow receiver.
+  /// Pauses or resumes reading of the answer, for a slow receiver.
   void pauseReading(bool paused);
 
-  /// Called when an idle connection ends, or answers unasked.
+  /// Called when an idle connection is closed by the other side or receives
+  /// bytes that no request asked for.
   std::function<void()> OnIdleEnd;
 
   bool open() const { return Connected; }
-  /// A request goes out, or its answer is not complete yet.
+  /// Returns whether a request is being sent or its answer is incomplete.
   bool calling() const { return Connected && Hooks; }
-  /// Whether another call may follow: the last answer was complete, all of the
-  /// request was sent, and neither side has said that it closes.
+  /// Returns whether another call may follow: the last answer was complete, its
+  /// whole request was sent, and neither side closes the connection.
   bool reusable() const { return Connected && Reusable && !Hooks; }
-  /// When the connection became idle.
+  /// Returns when the connection became idle.
   Instant idleSince() const { return IdleSince; }
-  /// How long the other side keeps an idle connection, if it said so.
+  /// Returns how long the other side keeps an idle connection open, if it has
+  /// announced it.
   std::optional<Span> keepAlive() const { return KeepAlive; }
   const asio::ip::tcp::endpoint &address() const { return Address; }
 
@@ -83,27 +87,27 @@
   void onMessage();
   void onEnd(asio::error_code ec);
   void fail(HttpFailure how);
-  void shut();
+  void closeSocket();
   void readKeepAlive(const HeaderFields &fields);
 
   asio::io_context &Context;
   asio::ip::tcp::socket Socket;
   asio::steady_timer ConnectTimer;
   asio::ip::tcp::endpoint Address;
-  Settings Setup;
+  Settings Options;
   HttpReader Reader{HttpReader::Side::Answers};
   std::shared_ptr<HttpCallHooks> Hooks;
   OutgoingBytes Outgoing;
   std::array<char, 8192> Buffer{};
   bool Connected = false;
-  bool Connecting = false;
-  bool Reading = false;
-  bool Paused = false;
-  bool Writing = false;
-  bool Bodiless = false;
+  bool IsConnecting = false;
+  bool IsReading = false;
+  bool IsPaused = false;
+  bool IsWriting = false;
+  bool IsBodiless = false;
   bool Reusable = true;
-  bool Dropping = false;
-  bool Shut = false;
+  bool IsDiscarding = false;
+  bool IsClosed = false;
   Instant IdleSince{};
   std::optional<Span> KeepAlive;
 };
--- a/Hemlockglade/Transport/Http1/HttpMessage.cpp
+++ b/Hemlockglade/Transport/Http1/HttpMessage.cpp
@@ -12,9 +12,8 @@
     "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE",
     "Trailer",    "Upgrade",    "Expect",           "Content-Length"};
 
-char lower(char sign) {
-  return sign >= 'A' && sign <= 'Z' ? static_cast<char>(sign + ('a' - 'A'))
-                                    : sign;
+char lower(char c) {
+  return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c;
 }
 
 std::string_view trimmed(std::string_view text) {
--- a/Hemlockglade/Transport/Http1/HttpMessage.h
+++ b/Hemlockglade/Transport/Http1/HttpMessage.h
@@ -15,13 +15,14 @@
 
 using HeaderFields = std::vector<HeaderField>;
 
-/// Whether two field names are the same; HTTP ignores their case.
+/// Returns whether two field names are equal, ignoring case as HTTP does.
 bool sameFieldName(std::string_view a, std::string_view b);
-/// The first field of that name, or nothing.
+/// Returns the value of the first field of that name, or nullptr.
 const std::string *findField(const HeaderFields &fields, std::string_view name);
-/// Whether the field concerns one connection only and is never passed on.
+/// Returns whether the field applies to one connection only and must not be
+/// forwarded.
 bool isConnectionField(std::string_view name);
-/// Whether one of the comma-separated words of a value is `word`.
+/// Returns whether a comma-separated value contains `word`, ignoring case.
 bool hasToken(std::string_view value, std::string_view word);
 
 /// Start line and fields of a request.
@@ -31,7 +32,7 @@
   std::string Target;
   HeaderFields Fields;
 
-  /// The target without its query.
+  /// Returns the target without its query.
   std::string_view path() const;
 };
 
@@ -41,7 +42,7 @@
   HeaderFields Fields;
 };
 
-/// The usual reason phrase of a status.
+/// Returns the standard reason phrase of a status.
 std::string_view reasonPhrase(std::uint16_t status);
 
 /// Writes a request's head; the fields must include its framing.
--- a/Hemlockglade/Transport/Http1/HttpPool.cpp
+++ b/Hemlockglade/Transport/Http1/HttpPool.cpp
@@ -6,42 +6,43 @@
 
 namespace hemlockglade {
 
-Span HttpPool::idleBound(const HttpConnection &connection) const {
-  auto told = connection.keepAlive();
-  if (!told)
-    return Setup.IdleBound;
-  return std::min(Setup.IdleBound, std::max(Span(0), *told - Setup.IdleMargin));
+Span HttpPool::idleTimeoutOf(const HttpConnection &connection) const {
+  auto announced = connection.keepAlive();
+  if (!announced)
+    return Options.IdleTimeout;
+  return std::min(Options.IdleTimeout,
+                  std::max(Span(0), *announced - Options.IdleMargin));
 }
 
 std::shared_ptr<HttpConnection>
-HttpPool::take(const asio::ip::tcp::endpoint &address, Span mostIdle) {
+HttpPool::take(const asio::ip::tcp::endpoint &address, Span maxIdleTime) {
   auto &idle = Idle[address];
   auto now = TimerService::now();
-  // The most recently used one first: it is the least likely to be gone.
+  // The most recently used one first: it is the least likely to be closed.
   while (!idle.empty()) {
     auto connection = std::move(idle.back());
     idle.pop_back();
     connection->OnIdleEnd = nullptr;
-    auto bound = std::min(mostIdle, idleBound(*connection));
-    if (connection->reusable() && now - connection->idleSince() < bound)
+    auto timeout = std::min(maxIdleTime, idleTimeoutOf(*connection));
+    if (connection->reusable() && now - connection->idleSince() < timeout)
       return connection;
     connection->abort();
   }
-  return std::make_shared<HttpConnection>(Context, address, Setup.Connection);
+  return std::make_shared<HttpConnection>(Context, address, Options.Connection);
 }
 
 void HttpPool::give(const std::shared_ptr<HttpConnection> &connection) {
   auto &idle = Idle[connection->address()];
-  if (!connection->reusable() || idle.size() >= Setup.MaxIdle) {
+  if (!connection->reusable() || idle.size() >= Options.MaxIdlePerAddress) {
     connection->abort();
     return;
   }
   connection->OnIdleEnd = [this, address = connection->address(),
                            weak = connection->weak_from_this()] {
-    auto gone = weak.lock();
+    auto closed = weak.lock();
     auto it = Idle.find(address);
-    if (gone && it != Idle.end())
-      std::erase(it->second, gone);
+    if (closed && it != Idle.end())
+      std::erase(it->second, closed);
   };
   idle.push_back(connection);
 }
@@ -62,11 +63,12 @@
   auto now = TimerService::now();
   for (auto it = Idle.begin(); it != Idle.end();) {
     std::erase_if(it->second, [this, now](const auto &connection) {
-      bool old = !connection->reusable() ||
-                 now - connection->idleSince() >= idleBound(*connection);
-      if (old)
+      bool isExpired =
+          !connection->reusable() ||
+          now - connection->idleSince() >= idleTimeoutOf(*connection);
+      if (isExpired)
         connection->abort();
-      return old;
+      return isExpired;
     });
     it = it->second.empty() ? Idle.erase(it) : std::next(it);
   }
--- a/Hemlockglade/Transport/Http1/HttpReader.cpp
+++ b/Hemlockglade/Transport/Http1/HttpReader.cpp
@@ -6,32 +6,33 @@
 
 namespace {
 
-/// Whether a head's fields frame its body in one way only. The parser takes
-/// some forms that others read differently: a blank in a name, another coding
-/// behind "chunked".
-bool isFramedOnce(const HeaderFields &fields) {
+/// Returns whether a head's fields frame its body in one way only. http_parser
+/// accepts some forms that other implementations interpret differently: a blank
+/// in a name, another coding after "chunked".
+bool isFramingUnambiguous(const HeaderFields &fields) {
   std::size_t framings = 0;
   for (const auto &it : fields) {
     if (it.Name.find_first_of(" \t") != std::string::npos)
       return false;
-    bool coded = sameFieldName(it.Name, "Transfer-Encoding");
-    if (coded && !sameFieldName(it.Value, "chunked"))
+    bool isTransferEncoding = sameFieldName(it.Name, "Transfer-Encoding");
+    if (isTransferEncoding && !sameFieldName(it.Value, "chunked"))
       return false;
-    framings += coded || sameFieldName(it.Name, "Content-Length") ? 1 : 0;
+    framings +=
+        isTransferEncoding || sameFieldName(it.Name, "Content-Length") ? 1 : 0;
   }
   return framings <= 1;
 }
 
 } // namespace
 
-/// http_parser's callbacks; `data` is the reader.
+/// Callbacks of http_parser; `data` is the reader.
 struct HttpReader::Callbacks {
   static HttpReader &self(http_parser *parser) {
     return *static_cast<HttpReader *>(parser->data);
   }
 
   static int onBegin(http_parser *parser) {
-    self(parser).Now = State::InHead;
+    self(parser).Current = State::InHead;
     return 0;
   }
 
@@ -42,14 +43,14 @@
 
   static int onName(http_parser *parser, const char *data, std::size_t n) {
     auto &fields = self(parser).fields();
-    if (fields.empty() || std::exchange(self(parser).InValue, false))
+    if (fields.empty() || std::exchange(self(parser).IsInValue, false))
       fields.emplace_back();
     fields.back().Name.append(data, n);
     return 0;
   }
 
   static int onValue(http_parser *parser, const char *data, std::size_t n) {
-    self(parser).InValue = true;
+    self(parser).IsInValue = true;
     self(parser).fields().back().Value.append(data, n);
     return 0;
   }
@@ -57,16 +58,16 @@
   static int onHeadComplete(http_parser *parser) {
     constexpr int Refuse = -1;
     auto &reader = self(parser);
-    if (!isFramedOnce(reader.fields()))
+    if (!isFramingUnambiguous(reader.fields()))
       return Refuse;
-    reader.Now = State::InBody;
+    reader.Current = State::InBody;
     reader.Answer.Status = static_cast<std::uint16_t>(parser->status_code);
     if (reader.Direction == Side::Requests)
       reader.Request.Method =
           http_method_str(static_cast<http_method>(parser->method));
     if (reader.OnHead)
       reader.OnHead();
-    return reader.Bodiless ? 1 : 0;
+    return reader.IsBodiless ? 1 : 0;
   }
 
   static int onBody(http_parser *parser, const char *data, std::size_t n) {
@@ -78,7 +79,7 @@
 
   static int onComplete(http_parser *parser) {
     auto &reader = self(parser);
-    reader.Now = State::Complete;
+    reader.Current = State::Complete;
     reader.KeepsAlive = http_should_keep_alive(parser) != 0;
     http_parser_pause(parser, 1);
     return 0;
@@ -113,14 +114,14 @@
   Request = {};
   Answer = {};
   HeadBytes = 0;
-  InValue = false;
-  TooLarge = false;
-  Bodiless = bodiless;
-  Now = State::Idle;
+  IsInValue = false;
+  IsHeadTooLarge = false;
+  IsBodiless = bodiless;
+  Current = State::Idle;
 }
 
 std::size_t HttpReader::feed(std::string_view bytes) {
-  if (Now == State::Complete || Now == State::Broken || bytes.empty())
+  if (Current == State::Complete || Current == State::Broken || bytes.empty())
     return 0;
   bool inHead = !headComplete();
   auto n = http_parser_execute(&Parser, &Callbacks::table(), bytes.data(),
@@ -128,19 +129,20 @@
   if (inHead && !headComplete())
     HeadBytes += n;
   auto error = HTTP_PARSER_ERRNO(&Parser);
-  bool paused = error == HPE_PAUSED && Now == State::Complete;
-  TooLarge = error == HPE_HEADER_OVERFLOW || HeadBytes > HeadLimit;
-  if (TooLarge || (error != HPE_OK && !paused) || Parser.upgrade)
-    Now = State::Broken;
+  bool isPaused = error == HPE_PAUSED && Current == State::Complete;
+  IsHeadTooLarge = error == HPE_HEADER_OVERFLOW || HeadBytes > MaxHeadBytes;
+  if (IsHeadTooLarge || (error != HPE_OK && !isPaused) || Parser.upgrade)
+    Current = State::Broken;
   return n;
 }
 
 void HttpReader::finish() {
-  if (Now == State::Complete || Now == State::Broken || Now == State::Idle)
+  if (Current == State::Complete || Current == State::Broken ||
+      Current == State::Idle)
     return;
   http_parser_execute(&Parser, &Callbacks::table(), nullptr, 0);
-  if (Now != State::Complete)
-    Now = State::Broken;
+  if (Current != State::Complete)
+    Current = State::Broken;
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Http1/HttpReader.h
+++ b/Hemlockglade/Transport/Http1/HttpReader.h
@@ -8,22 +8,22 @@
 
 namespace hemlockglade {
 
-/// Reads HTTP/1.1 messages of one direction of a connection, one at a time,
-/// over http_parser. It stops behind each message, so that what follows is
-/// never taken for a part of it.
+/// Parses the HTTP/1.1 messages of one direction of a connection with
+/// http_parser, one at a time. It stops after each message, so that the bytes
+/// after it are never taken for a part of it.
 class HttpReader {
 public:
   enum class Side : std::uint8_t { Requests, Answers };
   enum class State : std::uint8_t {
-    /// No byte of the next message has come.
+    /// No byte of the next message has been fed.
     Idle,
     /// The head is not complete.
     InHead,
     /// The head is complete, the body is not.
     InBody,
-    /// The message is complete; `next` has to be called before more is fed.
+    /// The message is complete; `next` must be called before more is fed.
     Complete,
-    /// The bytes are no HTTP/1.1, or the head is too large.
+    /// The bytes are not HTTP/1.1, or the head is too large.
     Broken,
   };
 
@@ -34,29 +34,32 @@
   /// Called with each part of a body, in order.
   std::function<void(std::string_view part)> OnBody;
 
-  /// Takes bytes up to the end of the message; returns how many were taken.
+  /// Parses bytes up to the end of the message; returns how many it consumed.
   std::size_t feed(std::string_view bytes);
-  /// The connection ended. Completes an answer that is delimited by that.
+  /// Called when the connection has ended. Completes an answer whose body is
+  /// delimited by that; any other incomplete message becomes `Broken`.
   void finish();
-  /// Gets ready for the next message. `bodiless` says that an answer has no
+  /// Prepares for the next message. `bodiless` says that an answer has no
   /// body whatever its head says, as to HEAD.
   void next(bool bodiless = false);
 
-  State state() const { return Now; }
+  State state() const { return Current; }
   bool headComplete() const {
-    return Now == State::InBody || Now == State::Complete;
+    return Current == State::InBody || Current == State::Complete;
   }
-  /// Bytes of the head so far, roughly.
+  /// Returns the approximate number of bytes of the head so far.
   std::size_t headBytes() const { return HeadBytes; }
-  void limitHead(std::size_t bytes) { HeadLimit = bytes; }
-  /// Whether the head, not the syntax, was the reason for `Broken`.
-  bool headTooLarge() const { return TooLarge; }
+  void setMaxHeadBytes(std::size_t bytes) { MaxHeadBytes = bytes; }
+  /// Returns whether the size of the head, not its syntax, was the reason for
+  /// `Broken`.
+  bool headTooLarge() const { return IsHeadTooLarge; }
 
   const HttpRequestHead &request() const { return Request; }
   const HttpAnswerHead &answer() const { return Answer; }
   HttpRequestHead takeRequest() { return std::move(Request); }
   HttpAnswerHead takeAnswer() { return std::move(Answer); }
-  /// Whether the other side will use the connection again after this message.
+  /// Returns whether the other side keeps the connection open after this
+  /// message.
   bool keepsAlive() const { return KeepsAlive; }
 
 private:
@@ -65,16 +68,16 @@
   HeaderFields &fields();
 
   Side Direction;
-  State Now = State::Idle;
+  State Current = State::Idle;
   http_parser Parser{};
   HttpRequestHead Request;
   HttpAnswerHead Answer;
   std::size_t HeadBytes = 0;
-  std::size_t HeadLimit = std::size_t{64} * 1024;
-  bool TooLarge = false;
+  std::size_t MaxHeadBytes = std::size_t{64} * 1024;
+  bool IsHeadTooLarge = false;
   bool KeepsAlive = false;
-  bool Bodiless = false;
-  bool InValue = false;
+  bool IsBodiless = false;
+  bool IsInValue = false;
 };
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Http1/ListenProbe.cpp
+++ b/Hemlockglade/Transport/Http1/ListenProbe.cpp
@@ -10,13 +10,13 @@
 struct Probe {
   explicit Probe(asio::io_context &context) : Socket(context), Timer(context) {}
 
-  void finish(Listening how) {
+  void finish(Listening result) {
     if (!Done)
       return;
     asio::error_code ec;
     Timer.cancel();
     Socket.close(ec);
-    std::exchange(Done, nullptr)(how);
+    std::exchange(Done, nullptr)(result);
   }
 
   asio::ip::tcp::socket Socket;
@@ -24,7 +24,7 @@
   std::function<void(Listening)> Done;
 };
 
-Listening meaningOf(asio::error_code ec) {
+Listening toListening(asio::error_code ec) {
   if (!ec)
     return Listening::Yes;
   return ec == asio::error::connection_refused ? Listening::No
@@ -43,8 +43,9 @@
     if (!ec)
       probe->finish(Listening::Unknown);
   });
-  probe->Socket.async_connect(
-      address, [probe](asio::error_code ec) { probe->finish(meaningOf(ec)); });
+  probe->Socket.async_connect(address, [probe](asio::error_code ec) {
+    probe->finish(toListening(ec));
+  });
 }
 
 } // namespace hemlockglade
--- a/Hemlockglade/Transport/Http1/ListenProbe.h
+++ b/Hemlockglade/Transport/Http1/ListenProbe.h
@@ -8,17 +8,18 @@
 
 namespace hemlockglade {
 
-/// What a try to connect to an address shows.
+/// Result of connecting to an address.
 enum class Listening : std::uint8_t {
-  /// A process listens there.
+  /// A process listens at the address.
   Yes,
-  /// The host refuses: no process does.
+  /// The host refused the connection: no process listens.
   No,
-  /// No answer in time.
+  /// There was no answer within the timeout, or another error.
   Unknown,
 };
 
-/// Finds out whether a process listens at an address; sends it nothing.
+/// Probes whether a process listens at an address. Connects only and sends no
+/// bytes.
 void probeListener(asio::io_context &context,
                    const asio::ip::tcp::endpoint &address, Span timeout,
                    std::function<void(Listening)> done);
--- a/Hemlockglade/Transport/Http1/OutgoingBytes.cpp
+++ b/Hemlockglade/Transport/Http1/OutgoingBytes.cpp
@@ -11,9 +11,10 @@
     auto n = socket.write_some(rest, ec);
     Written += ec ? 0 : n;
   }
-  bool waits = ec == asio::error::would_block || ec == asio::error::try_again ||
-               ec == asio::error::interrupted;
-  if (ec && !waits)
+  bool wouldBlock = ec == asio::error::would_block ||
+                    ec == asio::error::try_again ||
+                    ec == asio::error::interrupted;
+  if (ec && !wouldBlock)
     return Result::Broken;
   if (Written < Bytes.size())
     return Result::Waits;
--- a/Hemlockglade/Transport/Http1/OutgoingBytes.h
+++ b/Hemlockglade/Transport/Http1/OutgoingBytes.h
@@ -6,22 +6,22 @@
 
 namespace hemlockglade {
 
-/// Bytes that wait to be written to a socket that does not block.
+/// Buffer of bytes to write to a non-blocking socket.
 class OutgoingBytes {
 public:
   enum class Result : std::uint8_t {
-    /// All are with the kernel.
+    /// The kernel has accepted all bytes.
     Done,
-    /// The kernel takes no more for now.
+    /// The kernel accepts no more bytes for now.
     Waits,
-    /// The connection takes nothing any more.
+    /// The connection is broken.
     Broken,
   };
 
   void append(std::string_view bytes) { Bytes.append(bytes); }
   bool empty() const { return Bytes.empty(); }
   std::size_t size() const { return Bytes.size() - Written; }
-  /// Writes as much as the kernel takes.
+  /// Writes as many bytes as the kernel accepts.
   Result writeTo(asio::ip::tcp::socket &socket);
 
 private:
--- a/Hemlockglade/Transport/Http1/SocketOptions.cpp
+++ b/Hemlockglade/Transport/Http1/SocketOptions.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Unanswered probes after which a silent connection is over; with one second
-/// between them an idle connection is known dead 2 s after the first.
+/// Unanswered probes after which a connection is ended. At an interval of one
+/// second an idle connection ends 2 s after the first probe.
 constexpr int ProbeCount = 2;
 constexpr int ProbeIntervalSeconds = 1;
 
@@ -18,16 +18,17 @@
 
 } // namespace
 
-void setUpSocket(asio::ip::tcp::socket &socket, const SilenceBounds &bounds) {
+void setUpSocket(asio::ip::tcp::socket &socket,
+                 const SilenceTimeouts &timeouts) {
   asio::error_code ec;
   socket.non_blocking(true, ec);
   socket.set_option(asio::ip::tcp::no_delay(true), ec);
   socket.set_option(asio::socket_base::keep_alive(true), ec);
-  setTcp(socket, TCP_KEEPIDLE, static_cast<int>(bounds.ProbeAfter.count()));
+  setTcp(socket, TCP_KEEPIDLE, static_cast<int>(timeouts.ProbeAfter.count()));
   setTcp(socket, TCP_KEEPINTVL, ProbeIntervalSeconds);
   setTcp(socket, TCP_KEEPCNT, ProbeCount);
   setTcp(socket, TCP_USER_TIMEOUT,
-         static_cast<int>(bounds.Unacknowledged.count()));
+         static_cast<int>(timeouts.Unacknowledged.count()));
 }
 
 void resetSocket(asio::ip::tcp::socket &socket) {
--- a/Hemlockglade/Transport/Http1/SocketOptions.h
+++ b/Hemlockglade/Transport/Http1/SocketOptions.h
@@ -5,20 +5,22 @@
 
 namespace hemlockglade {
 
-/// How soon a connection that has gone silent is given up.
-struct SilenceBounds {
-  /// Sent bytes that are not acknowledged for this long end the connection.
+/// Timeouts after which a connection to an unresponsive host is ended.
+struct SilenceTimeouts {
+  /// Time for which sent bytes may remain unacknowledged.
   std::chrono::milliseconds Unacknowledged{1500};
-  /// Idle time before the kernel asks for a sign of life, whole seconds.
+  /// Idle time before the kernel sends the first keep-alive probe, in whole
+  /// seconds.
   std::chrono::seconds ProbeAfter{2};
 };
 
-/// Sets what every connection of the product has: no delay of small writes,
-/// bounds on silence, no blocking.
-void setUpSocket(asio::ip::tcp::socket &socket, const SilenceBounds &bounds);
+/// Sets the options of every connection of the product: no delay of small
+/// writes, timeouts for unresponsive hosts, and non-blocking.
+void setUpSocket(asio::ip::tcp::socket &socket,
+                 const SilenceTimeouts &timeouts);
 
-/// Ends a connection at once; what is on its way is dropped, so that a request
-/// that was given up can't arrive later.
+/// Resets a connection. Unsent bytes are dropped, so that a request that timed
+/// out can't arrive later.
 void resetSocket(asio::ip::tcp::socket &socket);
 
 } // namespace hemlockglade
--- a/UnitTests/Transport/ClientsTest.cpp
+++ b/UnitTests/Transport/ClientsTest.cpp
@@ -4,38 +4,38 @@
 
 namespace {
 
-/// What the other side does with every request.
+/// How the server answers every request.
 struct Script {
   int Status = 200;
   std::string Body;
   bool Abort = false;
-  /// Nobody listens.
-  bool Dead = false;
+  /// No server listens at the address.
+  bool IsUnreachable = false;
 };
 
-/// A scripted other side, and what it was asked.
+/// A server that follows a script, and the requests that it received.
 struct Fixture : Loopback {
-  Script Next;
-  std::vector<HttpIncoming> Asked;
+  Script Answering;
+  std::vector<HttpIncoming> Requests;
   HttpServer Server{
       Context, HttpServerSettings(),
       [this](HttpIncoming in, const std::shared_ptr<HttpReply> &reply) {
-        Asked.push_back(std::move(in));
-        if (Next.Abort)
+        Requests.push_back(std::move(in));
+        if (Answering.Abort)
           reply->abort();
         else
-          reply->sendWhole(Next.Status, {}, Next.Body);
+          reply->sendWhole(Answering.Status, {}, Answering.Body);
       }};
   HttpClient Client{Context};
 
   std::string target() {
-    return address(Next.Dead ? deadPort() : Server.port());
+    return address(Answering.IsUnreachable ? deadPort() : Server.port());
   }
   PlatformClient platform() { return {Client, "http://" + target()}; }
 };
 
-/// The result of a table call, once it is there.
-template <typename T> struct Got {
+/// The result of a table call, set when it arrives.
+template <typename T> struct TableResult {
   std::optional<tl::expected<T, TableError>> Value;
   TableCallback<T> hook() {
     return [this](tl::expected<T, TableError> value) {
@@ -46,9 +46,9 @@
 
 } // namespace
 
-TEST_CASE("the table's answers are told apart", "[platform]") {
+TEST_CASE("answers of the table are mapped to their errors", "[platform]") {
   struct Case {
-    Script Other;
+    Script Behavior;
     std::optional<TableError> Commit;
     std::optional<TableError> Get;
   };
@@ -62,13 +62,14 @@
       {{200, "", false, true}, TableError::NotSent, TableError::NotSent}};
   for (const auto &it : cases) {
     Fixture fixture;
-    fixture.Next = it.Other;
-    CAPTURE(it.Other.Status, it.Other.Body, it.Other.Abort, it.Other.Dead);
+    fixture.Answering = it.Behavior;
+    CAPTURE(it.Behavior.Status, it.Behavior.Body, it.Behavior.Abort,
+            it.Behavior.IsUnreachable);
     auto platform = fixture.platform();
     auto table = platform.table();
-    Got<std::uint64_t> commit;
-    Got<std::optional<TableRow>> get;
-    Got<std::vector<TableRow>> scan;
+    TableResult<std::uint64_t> commit;
+    TableResult<std::optional<TableRow>> get;
+    TableResult<std::vector<TableRow>> scan;
     table.Commit({"attempt", {{"k", 1, "v"}}}, commit.hook());
     table.Get("a key", get.hook());
     table.Scan("a/", scan.hook());
@@ -86,33 +87,33 @@
   }
 }
 
-TEST_CASE("a row that is not there is no error, and lists are read",
-          "[platform]") {
+TEST_CASE("a missing row is not an error, and lists are parsed", "[platform]") {
   Fixture fixture;
   auto platform = fixture.platform();
   auto table = platform.table();
-  fixture.Next = {404, ""};
-  Got<std::optional<TableRow>> missing;
+  fixture.Answering = {404, ""};
+  TableResult<std::optional<TableRow>> missing;
   table.Get("a&b=c d", missing.hook());
   REQUIRE(fixture.until([&] { return missing.Value.has_value(); }));
   REQUIRE(missing.Value->has_value());
   REQUIRE_FALSE((*missing.Value)->has_value());
-  REQUIRE(queryValue(fixture.Asked[0].Query, "key") == "a&b=c d");
-  fixture.Next = {200, platform_format::rowsBody({{"a/1", 1, "x"}})};
-  Got<std::vector<TableRow>> rows;
+  REQUIRE(queryValue(fixture.Requests[0].Query, "key") == "a&b=c d");
+  fixture.Answering = {200, platform_format::rowsBody({{"a/1", 1, "x"}})};
+  TableResult<std::vector<TableRow>> rows;
   table.Scan("a/", rows.hook());
   REQUIRE(fixture.until([&] { return rows.Value.has_value(); }));
   REQUIRE((*rows.Value)->at(0).Key == "a/1");
-  fixture.Next = {200, hostListBody({{"h", "1.2.3.4:5", true}})};
-  Got<std::vector<HostEntry>> hosts;
+  fixture.Answering = {200, hostListBody({{"h", "1.2.3.4:5", true}})};
+  TableResult<std::vector<HostEntry>> hosts;
   platform.hosts(hosts.hook());
   REQUIRE(fixture.until([&] { return hosts.Value.has_value(); }));
   REQUIRE((*hosts.Value)->at(0).Leaving);
 }
 
-TEST_CASE("an engine's answers to orders are told apart", "[engine]") {
+TEST_CASE("answers of an engine are mapped to the results of orders",
+          "[engine]") {
   struct Case {
-    Script Other;
+    Script Behavior;
     OrderResult Expected;
   };
   std::vector<Case> cases{{{200, "{}"}, OrderResult::Done},
@@ -124,8 +125,8 @@
                           {{200, "", false, true}, OrderResult::Refused}};
   for (const auto &it : cases) {
     Fixture fixture;
-    fixture.Next = it.Other;
-    CAPTURE(it.Other.Status, it.Other.Abort, it.Other.Dead);
+    fixture.Answering = it.Behavior;
+    CAPTURE(it.Behavior.Status, it.Behavior.Abort, it.Behavior.IsUnreachable);
     EngineClient engines(fixture.Client);
     std::vector<OrderResult> results;
     auto done = [&](OrderResult result) { results.push_back(result); };
@@ -133,36 +134,36 @@
     engines.unload(fixture.target(), "oath-fr@7", 41, done);
     REQUIRE(fixture.until([&] { return results.size() == 2; }));
     CHECK(results == std::vector(2, it.Expected));
-    for (const auto &asked : fixture.Asked) {
-      CHECK(asked.field(header::Fence) == "41");
-      CHECK(engine_format::readOrder(asked.Body) == "oath-fr@7");
+    for (const auto &request : fixture.Requests) {
+      CHECK(request.field(header::Fence) == "41");
+      CHECK(engine_format::readOrder(request.Body) == "oath-fr@7");
     }
   }
 }
 
-TEST_CASE("a report is read or missing, and a load can be taken back",
+TEST_CASE("a report is parsed or missing, and a load can be cancelled",
           "[engine]") {
   Fixture fixture;
   EngineClient engines(fixture.Client);
   int answers = 0;
   std::optional<EngineReport> got;
-  auto take = [&](auto report) {
+  auto onReport = [&](auto report) {
     ++answers;
     got = report;
   };
   EngineReport report;
   report.Incarnation = "i";
   report.Resident = {{"a@1", 2}};
-  fixture.Next = {200, engine_format::reportBody(report)};
-  engines.report(fixture.target(), take);
+  fixture.Answering = {200, engine_format::reportBody(report)};
+  engines.report(fixture.target(), onReport);
   REQUIRE(fixture.until([&] { return answers == 1; }));
   REQUIRE(got->Resident == report.Resident);
-  for (const Script &other :
-       {Script{500, fixture.Next.Body}, Script{200, "{}"},
+  for (const Script &behavior :
+       {Script{500, fixture.Answering.Body}, Script{200, "{}"},
         Script{200, "", true}, Script{200, "", false, true}}) {
-    fixture.Next = other;
+    fixture.Answering = behavior;
     answers = 0;
-    engines.report(fixture.target(), take);
+    engines.report(fixture.target(), onReport);
     REQUIRE(fixture.until([&] { return answers == 1; }));
     REQUIRE_FALSE(got);
   }
@@ -178,7 +179,8 @@
   REQUIRE(results == std::vector{OrderResult::Unknown});
 }
 
-TEST_CASE("a timer calls until its subscription is dropped", "[timer]") {
+TEST_CASE("a timer calls its hook until its subscription is destroyed",
+          "[timer]") {
   Loopback loop;
   TimerService timers(loop.Context);
   int ticks = 0;
@@ -197,7 +199,7 @@
   loop.settle();
   REQUIRE(ticks == seen);
   REQUIRE(once == 1);
-  // Dropped from inside its own call.
+  // The subscription is destroyed from within its own hook.
   TimerService::Subscription self;
   int inner = 0;
   self = timers.every(std::chrono::microseconds(10), [&](Instant) {
--- a/UnitTests/Transport/Http/HttpServerAbortTest.cpp
+++ b/UnitTests/Transport/Http/HttpServerAbortTest.cpp
@@ -6,52 +6,52 @@
 
 namespace {
 
-/// What a caller saw of one answer that the handler gave.
-struct Seen {
+/// Result and body of one answer as its caller received them.
+struct ReceivedAnswer {
   HttpResult Result;
   std::string Body;
 };
 
-Seen ask(const HttpHandler &handler) {
+ReceivedAnswer exchange(const HttpHandler &handler) {
   asio::io_context context(1);
   HttpServer server(context, {}, handler);
   HttpClient client(context);
   HttpRequest request;
   request.Url = "http://127.0.0.1:" + std::to_string(server.port()) + "/";
   request.Timeout = std::chrono::seconds(20);
-  Seen seen;
+  ReceivedAnswer received;
   client.fetch(request, [&](const HttpResult &result, std::string body) {
-    seen = {result, std::move(body)};
+    received = {result, std::move(body)};
     context.stop();
   });
   context.run();
-  return seen;
+  return received;
 }
 
 } // namespace
 
-TEST_CASE("an aborted answer is seen as not whole", "[http]") {
+TEST_CASE("an aborted answer is incomplete for its caller", "[http]") {
   SECTION("before its head") {
-    auto seen =
-        ask([](const HttpIncoming &, const auto &reply) { reply->abort(); });
-    CHECK_FALSE(seen.Result.Whole);
-    CHECK(seen.Result.Status == 0);
-    CHECK(seen.Result.Error.find("imeout") == std::string::npos);
+    auto received = exchange(
+        [](const HttpIncoming &, const auto &reply) { reply->abort(); });
+    CHECK_FALSE(received.Result.Whole);
+    CHECK(received.Result.Status == 0);
+    CHECK(received.Result.Error.find("imeout") == std::string::npos);
   }
-  SECTION("inside its stream") {
-    auto seen = ask([](const HttpIncoming &, const auto &reply) {
+  SECTION("within its stream") {
+    auto received = exchange([](const HttpIncoming &, const auto &reply) {
       reply->startStream(200, {});
       reply->sendPart("part", nullptr);
       reply->abort();
     });
-    CHECK_FALSE(seen.Result.Whole);
-    CHECK(seen.Result.Status == 200);
-    CHECK(seen.Body == "part");
+    CHECK_FALSE(received.Result.Whole);
+    CHECK(received.Result.Status == 200);
+    CHECK(received.Body == "part");
   }
-  SECTION("by a stream that is dropped") {
-    auto seen = ask([](const HttpIncoming &, const auto &reply) {
+  SECTION("by destroying its stream") {
+    auto received = exchange([](const HttpIncoming &, const auto &reply) {
       reply->startStream(200, {});
     });
-    CHECK_FALSE(seen.Result.Whole);
+    CHECK_FALSE(received.Result.Whole);
   }
 }
--- a/UnitTests/Transport/Http1/CallerServerTest.cpp
+++ b/UnitTests/Transport/Http1/CallerServerTest.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("requests of a kept connection are answered in order", "[callers]") {
+TEST_CASE("requests on one connection are answered in order", "[callers]") {
   ServerFixture it;
   it.Peer.send(Get + "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: "
                      "2\r\n\r\nhi");
@@ -59,16 +59,16 @@
   CHECK_FALSE(it.Peer.Ended);
 }
 
-TEST_CASE("a caller who leaves is noticed while its request runs",
+TEST_CASE("a disconnect of the caller is reported while its request runs",
           "[callers]") {
   ServerFixture it;
   it.Peer.send(Get);
   REQUIRE(it.untilRequests(1));
-  bool gone = false;
-  it.Replies[0]->OnGone = [&gone] { gone = true; };
-  SECTION("by ending") { it.Peer.close(); }
+  bool disconnected = false;
+  it.Replies[0]->OnGone = [&disconnected] { disconnected = true; };
+  SECTION("by a close") { it.Peer.close(); }
   SECTION("by a reset") { it.Peer.reset(); }
-  CHECK(it.until([&gone] { return gone; }));
+  CHECK(it.until([&disconnected] { return disconnected; }));
 }
 
 TEST_CASE("an answer in parts ends with its last chunk", "[callers]") {
@@ -83,14 +83,15 @@
     it.Replies[0]->finish();
     CHECK(it.untilGot("0\r\n\r\n"));
   }
-  SECTION("an abort can't look like one") {
+  SECTION("aborted") {
     it.Replies[0]->abort();
     REQUIRE(it.until([&] { return it.Peer.Ended; }));
     CHECK(it.Peer.Got.find("0\r\n\r\n") == std::string::npos);
   }
 }
 
-TEST_CASE("a reply that is dropped breaks its connection", "[callers]") {
+TEST_CASE("destroying a reply without an answer aborts its connection",
+          "[callers]") {
   ServerFixture it;
   it.Peer.send(Get);
   REQUIRE(it.untilRequests(1));
@@ -98,7 +99,7 @@
   CHECK(it.until([&] { return it.Peer.Ended; }));
 }
 
-TEST_CASE("what could hide a second request is refused", "[callers]") {
+TEST_CASE("a head that could hide a second request is refused", "[callers]") {
   ServerFixture it;
   auto head = GENERATE(
       as<std::string>{}, "Host: x\r\nHost: y\r\n", "",
@@ -109,7 +110,7 @@
   CHECK(it.Requests.empty());
 }
 
-TEST_CASE("callers' requests are bounded", "[callers]") {
+TEST_CASE("requests over a limit are refused", "[callers]") {
   ServerFixture it;
   SECTION("in their head") {
     it.Bounds.MaxHeadBytes = 50;
@@ -131,7 +132,7 @@
   CHECK(it.until([&] { return it.Peer.Ended; }));
 }
 
-TEST_CASE("a server that closes says so in its answers", "[callers]") {
+TEST_CASE("answers of a closing server close their connections", "[callers]") {
   ServerFixture it;
   it.Closing = true;
   it.Peer.send(Get);
@@ -141,7 +142,7 @@
   CHECK(it.until([&] { return it.Peer.Ended; }));
 }
 
-TEST_CASE("a caller that asks to go on is told to", "[callers]") {
+TEST_CASE("a request that expects 100-continue gets it", "[callers]") {
   ServerFixture it;
   it.Peer.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nExpect: "
                "100-continue\r\n\r\n");
@@ -151,7 +152,8 @@
   CHECK(it.Requests[0].Body == "hi");
 }
 
-TEST_CASE("resting connections can be ended", "[callers]") {
+TEST_CASE("closeIdle closes connections without a running request",
+          "[callers]") {
   ServerFixture it;
   it.Peer.send(Get);
   REQUIRE(it.untilRequests(1));
--- a/UnitTests/Transport/Http1/HttpCallerTest.cpp
+++ b/UnitTests/Transport/Http1/HttpCallerTest.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A server that answers each call on its connections until it drops them: from
-/// then on these stay open and say nothing, and new ones work.
+/// A server that answers each call until its connections are dropped. From then
+/// on these stay open without answers, and new ones work.
 struct DroppingServer : Loopback {
   DroppingServer()
       : Server(Context, [this](RawPeer &peer) { onText(peer); }),
@@ -28,12 +28,13 @@
       Dropped.push_back(it.get());
   }
 
-  void call(int &good, int &failed) {
+  void call(int &succeeded, int &failed) {
     HttpCall call;
     call.Address = localhost(Server.port());
     call.Target = "/";
     call.Timeout = std::chrono::milliseconds(150);
-    Caller.call(call, [&](const auto &result) { ++(result ? good : failed); });
+    Caller.call(call,
+                [&](const auto &result) { ++(result ? succeeded : failed); });
   }
 
   RawServer Server;
@@ -43,23 +44,23 @@
 
 } // namespace
 
-// A call that nobody answers costs its whole time-out, which a caller with a
-// bound of its own can afford once. Connections that rested beside the silent
-// one are as old as it is; what silenced one has mostly silenced all of them.
-TEST_CASE("behind a call without an answer no kept connection is trusted",
+// A call without an answer costs its whole timeout, which a caller with a
+// timeout of its own can afford once. Idle connections beside the unresponsive
+// one are as old as it is, and mostly fail for the same reason.
+TEST_CASE("after a call without an answer no idle connection is reused",
           "[connection]") {
   DroppingServer it;
-  int good = 0;
+  int succeeded = 0;
   int failed = 0;
-  constexpr int Together = 4;
-  for (int n = 0; n < Together; ++n)
-    it.call(good, failed);
-  REQUIRE(it.until([&] { return good == Together; }));
+  constexpr int ConcurrentCalls = 4;
+  for (int n = 0; n < ConcurrentCalls; ++n)
+    it.call(succeeded, failed);
+  REQUIRE(it.until([&] { return succeeded == ConcurrentCalls; }));
   it.dropConnections();
-  it.call(good, failed);
+  it.call(succeeded, failed);
   REQUIRE(it.until([&] { return failed == 1; }));
-  it.call(good, failed);
-  REQUIRE(it.until([&] { return good + failed == Together + 2; }));
+  it.call(succeeded, failed);
+  REQUIRE(it.until([&] { return succeeded + failed == ConcurrentCalls + 2; }));
   CHECK(failed == 1);
 }
 
--- a/UnitTests/Transport/Http1/HttpConnectionTest.cpp
+++ b/UnitTests/Transport/Http1/HttpConnectionTest.cpp
@@ -32,7 +32,7 @@
   }
 
   void take() { Connection = Pool.take(Acceptor.local_endpoint()); }
-  bool untilAsked() {
+  bool untilRequest() {
     return until(
         [this] { return Peer.Got.find("\r\n\r\n") != std::string::npos; });
   }
@@ -51,11 +51,11 @@
 
 } // namespace
 
-TEST_CASE("a connection is used again after a whole answer", "[connection]") {
+TEST_CASE("a connection is reused after a complete answer", "[connection]") {
   CallFixture it;
   it.take();
   it.start();
-  REQUIRE(it.untilAsked());
+  REQUIRE(it.untilRequest());
   it.Peer.send(answer("one"));
   REQUIRE(it.untilEnd());
   CHECK(it.Done);
@@ -66,8 +66,7 @@
   CHECK(it.Connection == first);
 }
 
-TEST_CASE("an answer that its caller does not know is passed over",
-          "[connection]") {
+TEST_CASE("an answer that OnHead rejects is discarded", "[connection]") {
   CallFixture it;
   it.take();
   int heads = 0;
@@ -75,18 +74,18 @@
     ++heads;
     return findField(head.Fields, "X-Mine") != nullptr;
   });
-  REQUIRE(it.untilAsked());
+  REQUIRE(it.untilRequest());
   it.Peer.send(answer("stray") + answer("mine", "X-Mine: 1\r\n"));
   REQUIRE(it.untilEnd());
   CHECK(heads == 2);
   CHECK(it.Body == "mine");
 }
 
-TEST_CASE("bytes that come unasked end an idle connection", "[connection]") {
+TEST_CASE("unexpected bytes close an idle connection", "[connection]") {
   CallFixture it;
   it.take();
   it.start();
-  REQUIRE(it.untilAsked());
+  REQUIRE(it.untilRequest());
   it.Peer.send(answer("one"));
   REQUIRE(it.untilEnd());
   auto first = it.Connection;
@@ -97,29 +96,29 @@
   CHECK(it.Connection != first);
 }
 
-TEST_CASE("a connection with bytes behind its answer is not kept",
+TEST_CASE("a connection with bytes after its answer is not reusable",
           "[connection]") {
   CallFixture it;
   it.take();
   it.start();
-  REQUIRE(it.untilAsked());
+  REQUIRE(it.untilRequest());
   it.Peer.send(answer("one") + "extra");
   REQUIRE(it.untilEnd());
   it.settle();
   CHECK_FALSE(it.Connection->reusable());
 }
 
-TEST_CASE("how a call ends without an answer is told apart", "[connection]") {
+TEST_CASE("the reason for a failed call is reported", "[connection]") {
   CallFixture it;
   it.take();
   it.start();
-  REQUIRE(it.untilAsked());
-  SECTION("the other side ended it") {
+  REQUIRE(it.untilRequest());
+  SECTION("the other side closes the connection") {
     it.Peer.close();
     REQUIRE(it.untilEnd());
     CHECK(it.Failure == HttpFailure::Ended);
   }
-  SECTION("the other side reset it") {
+  SECTION("the other side resets the connection") {
     it.Peer.reset();
     REQUIRE(it.untilEnd());
     CHECK(it.Failure == HttpFailure::Broken);
@@ -138,14 +137,14 @@
     CHECK(it.Done);
     CHECK_FALSE(it.Connection->reusable());
   }
-  SECTION("it is no HTTP") {
+  SECTION("the answer is not HTTP") {
     it.Peer.send("what is this\r\n\r\n");
     REQUIRE(it.untilEnd());
     CHECK(it.Failure == HttpFailure::Broken);
   }
 }
 
-TEST_CASE("no connection means that nothing was sent", "[connection]") {
+TEST_CASE("a call that can't connect fails with NotConnected", "[connection]") {
   CallFixture it;
   it.Connection = std::make_shared<HttpConnection>(
       it.Context, Loopback::localhost(it.deadPort()),
@@ -155,12 +154,12 @@
   CHECK(it.Failure == HttpFailure::NotConnected);
 }
 
-TEST_CASE("an idle connection is given up before the other side ends it",
+TEST_CASE("an idle connection is not reused after its announced timeout",
           "[connection]") {
   CallFixture it;
   it.take();
   it.start();
-  REQUIRE(it.untilAsked());
+  REQUIRE(it.untilRequest());
   it.Peer.send(answer("one", "Keep-Alive: timeout=0\r\n"));
   REQUIRE(it.untilEnd());
   auto first = it.Connection;
@@ -169,7 +168,7 @@
   CHECK(it.Connection != first);
 }
 
-TEST_CASE("a short call ends at its time", "[connection]") {
+TEST_CASE("a short call ends at its timeout", "[connection]") {
   CallFixture it;
   HttpCaller caller(it.Context, HttpPool::Settings{});
   HttpCall call;
--- a/UnitTests/Transport/Http1/HttpReaderTest.cpp
+++ b/UnitTests/Transport/Http1/HttpReaderTest.cpp
@@ -9,8 +9,8 @@
 
 using State = HttpReader::State;
 
-struct Reading {
-  explicit Reading(HttpReader::Side side) : Reader(side) {
+struct ParsedMessage {
+  explicit ParsedMessage(HttpReader::Side side) : Reader(side) {
     Reader.OnBody = [this](std::string_view part) { Body.append(part); };
   }
 
@@ -22,8 +22,8 @@
 
 } // namespace
 
-TEST_CASE("a message ends where it says, and no later", "[reader]") {
-  Reading it(HttpReader::Side::Answers);
+TEST_CASE("parsing stops at the end of a message", "[reader]") {
+  ParsedMessage it(HttpReader::Side::Answers);
   auto text = Answer + "HTTP/1.1 500 X\r\n";
   CHECK(it.Reader.feed(text) == Answer.size());
   CHECK(it.Reader.state() == State::Complete);
@@ -32,12 +32,12 @@
   CHECK(it.Reader.keepsAlive());
 }
 
-TEST_CASE("messages read the same however they are cut", "[reader]") {
+TEST_CASE("messages are parsed the same however they are split", "[reader]") {
   REQUIRE(rc::check([] {
     std::string text = "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nX-Name: some "
                        "value\r\nTransfer-Encoding: chunked\r\n\r\n"
                        "3\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n";
-    Reading it(HttpReader::Side::Requests);
+    ParsedMessage it(HttpReader::Side::Requests);
     std::size_t at = 0;
     while (at < text.size()) {
       auto n = *rc::gen::inRange<std::size_t>(1, text.size() - at + 1);
@@ -52,12 +52,12 @@
   }));
 }
 
-TEST_CASE("any bytes are read or refused", "[reader]") {
+TEST_CASE("arbitrary bytes are parsed or refused", "[reader]") {
   REQUIRE(rc::check([] {
     auto bytes = *rc::gen::arbitrary<std::string>();
     auto side = *rc::gen::element(HttpReader::Side::Requests,
                                   HttpReader::Side::Answers);
-    Reading it(side);
+    ParsedMessage it(side);
     std::string_view rest = bytes;
     while (!rest.empty() && it.Reader.state() != State::Broken) {
       auto n = it.Reader.feed(rest);
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("an answer without a length ends with its connection", "[reader]") {
-  Reading it(HttpReader::Side::Answers);
+  ParsedMessage it(HttpReader::Side::Answers);
   it.Reader.feed("HTTP/1.1 200 OK\r\n\r\npart");
   CHECK(it.Reader.state() == State::InBody);
   it.Reader.finish();
@@ -82,8 +82,8 @@
   CHECK_FALSE(it.Reader.keepsAlive());
 }
 
-TEST_CASE("an answer that is cut is not complete", "[reader]") {
-  Reading it(HttpReader::Side::Answers);
+TEST_CASE("an answer that is cut off is not complete", "[reader]") {
+  ParsedMessage it(HttpReader::Side::Answers);
   SECTION("in its body") {
     it.Reader.feed(Answer.substr(0, Answer.size() - 1));
   }
@@ -102,14 +102,14 @@
                         "Content-Length: 3\r\nContent-Length: 4\r\n",
                         "Transfer-Encoding: chunked, identity\r\n",
                         "Content-Length: 3x\r\n", "Content-Length : 3\r\n");
-  Reading it(HttpReader::Side::Requests);
+  ParsedMessage it(HttpReader::Side::Requests);
   it.Reader.feed("POST / HTTP/1.1\r\nHost: x\r\n" + extra + "\r\nabc");
   CHECK(it.Reader.state() == State::Broken);
 }
 
-TEST_CASE("a head may be only so large", "[reader]") {
-  Reading it(HttpReader::Side::Requests);
-  it.Reader.limitHead(100);
+TEST_CASE("a head over the limit is refused", "[reader]") {
+  ParsedMessage it(HttpReader::Side::Requests);
+  it.Reader.setMaxHeadBytes(100);
   it.Reader.feed("GET / HTTP/1.1\r\nHost: x\r\n");
   CHECK(it.Reader.state() == State::InHead);
   it.Reader.feed("X-Long: " + std::string(200, 'a'));
@@ -117,7 +117,8 @@
   CHECK(it.Reader.headTooLarge());
 }
 
-TEST_CASE("fields that concern a connection are known", "[reader]") {
+TEST_CASE("fields of a connection and words of a value are recognized",
+          "[reader]") {
   CHECK(isConnectionField("connection"));
   CHECK(isConnectionField("Transfer-Encoding"));
   CHECK_FALSE(isConnectionField("X-Other"));
--- a/UnitTests/Transport/Http1/RawPeer.h
+++ b/UnitTests/Transport/Http1/RawPeer.h
@@ -6,12 +6,12 @@
 
 namespace hemlockglade::test {
 
-/// A TCP peer that a test drives by hand: it keeps what it is sent and sends
-/// what the test says.
+/// A TCP connection that a test controls: it collects the bytes it receives and
+/// sends those that the test passes.
 class RawPeer {
 public:
   explicit RawPeer(asio::io_context &context) : Socket(context) {}
-  ~RawPeer() { *Alive = false; }
+  ~RawPeer() { *IsAlive = false; }
   RawPeer(const RawPeer &) = delete;
   RawPeer &operator=(const RawPeer &) = delete;
 
@@ -20,9 +20,9 @@
     read();
   }
 
-  /// Takes the next connection of an acceptor.
+  /// Accepts the next connection of an acceptor.
   void accept(asio::ip::tcp::acceptor &acceptor) {
-    acceptor.async_accept(Socket, [this, alive = Alive](asio::error_code ec) {
+    acceptor.async_accept(Socket, [this, alive = IsAlive](asio::error_code ec) {
       if (!*alive)
         return;
       Connected = !ec;
@@ -52,7 +52,7 @@
   void read() {
     Socket.async_read_some(
         asio::buffer(Buffer),
-        [this, alive = Alive](asio::error_code ec, std::size_t n) {
+        [this, alive = IsAlive](asio::error_code ec, std::size_t n) {
           if (!*alive)
             return;
           if (ec) {
@@ -66,8 +66,8 @@
 
   asio::ip::tcp::socket Socket;
   std::array<char, 4096> Buffer{};
-  /// Tells a read that ends late whether the peer still lives.
-  std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
+  /// False once the peer is destroyed; pending handlers check it.
+  std::shared_ptr<bool> IsAlive = std::make_shared<bool>(true);
 };
 
 } // namespace hemlockglade::test
--- a/UnitTests/Transport/HttpTest.cpp
+++ b/UnitTests/Transport/HttpTest.cpp
@@ -9,20 +9,20 @@
 
 using ReplyPtr = std::shared_ptr<HttpReply>;
 
-/// A server and a client on one context; the handler is the test's.
+/// A server and a client on one context; the test provides the handler.
 struct HttpPair : Loopback {
   HttpServerSettings Settings;
   HttpHandler Handler;
   std::unique_ptr<HttpServer> Server;
   std::unique_ptr<HttpClient> Client = std::make_unique<HttpClient>(Context);
-  /// Replies that a test keeps; a reply must not outlive its context.
-  std::vector<ReplyPtr> Kept;
+  /// Replies that a test keeps. A reply must not outlive its context.
+  std::vector<ReplyPtr> KeptReplies;
 
   ~HttpPair() {
-    Kept.clear();
+    KeptReplies.clear();
     Client.reset();
     Server.reset();
-    // What throws here has failed its test before.
+    // An exception here means that the test has failed before.
     try {
       Context.restart();
       Context.poll();
@@ -45,24 +45,24 @@
     return out;
   }
 
-  bool ask(HttpRequest request, Answer &answer) {
+  bool exchange(HttpRequest request, Answer &answer) {
     Client->start(std::move(request), answer.hooks());
     return until([&] { return answer.Ends > 0; });
   }
 };
 
-/// Sends numbered parts, each after the one before went out.
-void pump(const ReplyPtr &reply, int next, int last, std::size_t pad) {
+/// Sends numbered parts, each after the one before was written.
+void sendParts(const ReplyPtr &reply, int next, int last, std::size_t pad) {
   if (next > last)
     return reply->finishStream();
   auto part = std::to_string(next) + std::string(pad, '.') + '\n';
   reply->sendPart(std::move(part), [=](bool ok) {
     if (ok)
-      pump(reply, next + 1, last, pad);
+      sendParts(reply, next + 1, last, pad);
   });
 }
 
-std::string numbered(int last, std::size_t pad) {
+std::string numberedParts(int last, std::size_t pad) {
   std::string out;
   for (int it = 1; it <= last; ++it)
     out += std::to_string(it) + std::string(pad, '.') + '\n';
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("whole answers pass both ways unchanged", "[http]") {
+TEST_CASE("requests and whole answers arrive unchanged", "[http]") {
   HttpPair pair;
   pair.serve([](HttpIncoming in, const ReplyPtr &reply) {
     HttpFields fields{{"X-Method", in.Method},
@@ -92,7 +92,7 @@
       auto request = pair.request("/a/../b/./c?q=%20&r", method, body);
       request.Fields = {{"X-Empty", ""}};
       Answer answer;
-      REQUIRE(pair.ask(request, answer));
+      REQUIRE(pair.exchange(request, answer));
       REQUIRE(answer.Result.Whole);
       REQUIRE(answer.Result.Status == (method == "PUT" ? 404 : 200));
       REQUIRE(answer.Heads == 1);
@@ -106,38 +106,39 @@
   }
 }
 
-TEST_CASE("streamed parts arrive in order, whole, as they are sent", "[http]") {
+TEST_CASE("streamed parts arrive completely, in order and without delay",
+          "[http]") {
   HttpPair pair;
-  auto &held = pair.Kept.emplace_back();
+  auto &kept = pair.KeptReplies.emplace_back();
   pair.serve([&](const HttpIncoming &in, const ReplyPtr &reply) {
     reply->startStream(200, {{"X-Kind", "stream"}});
     if (in.Path == "/held")
-      held = reply;
+      kept = reply;
     else
-      pump(reply, 1, 500, 100);
+      sendParts(reply, 1, 500, 100);
   });
   Answer answer;
-  REQUIRE(pair.ask(pair.request(), answer));
+  REQUIRE(pair.exchange(pair.request(), answer));
   REQUIRE(answer.Result.Whole);
-  REQUIRE(answer.Body == numbered(500, 100));
-  // A part is not kept back until the next one comes.
+  REQUIRE(answer.Body == numberedParts(500, 100));
+  // A part is not held back until the next one is sent.
   Answer slow;
   pair.Client->start(pair.request("/held"), slow.hooks());
-  REQUIRE(pair.until([&] { return held != nullptr; }));
-  held->sendPart("one", nullptr);
+  REQUIRE(pair.until([&] { return kept != nullptr; }));
+  kept->sendPart("one", nullptr);
   REQUIRE(pair.until([&] { return slow.Body == "one"; }));
-  held->finishStream();
+  kept->finishStream();
   REQUIRE(pair.until([&] { return slow.Ends == 1; }));
-  bool told = false;
-  held->sendPart("late", [&](bool ok) { told = !ok; });
-  REQUIRE(pair.until([&] { return told; }));
+  bool reported = false;
+  kept->sendPart("late", [&](bool ok) { reported = !ok; });
+  REQUIRE(pair.until([&] { return reported; }));
 }
 
-TEST_CASE("a paused transfer goes on and loses and doubles nothing", "[http]") {
+TEST_CASE("a resumed transfer neither loses nor duplicates bytes", "[http]") {
   HttpPair pair;
   pair.serve([&](const HttpIncoming &, const ReplyPtr &reply) {
     reply->startStream(200, {});
-    pump(reply, 1, 300, 2000);
+    sendParts(reply, 1, 300, 2000);
   });
   Answer answer;
   auto hooks = answer.hooks();
@@ -154,7 +155,7 @@
       ++pauses;
       return false;
     }
-    // What was refused is given again, whole or from its start.
+    // The refused part is passed again, completely or its beginning.
     auto n = std::min(part.size(), refused.size());
     REQUIRE(part.substr(0, n) == refused.substr(0, n));
     refused.erase(0, n);
@@ -169,10 +170,10 @@
   }
   REQUIRE(pauses > 10);
   REQUIRE(answer.Result.Whole);
-  REQUIRE(answer.Body == numbered(300, 2000));
+  REQUIRE(answer.Body == numberedParts(300, 2000));
 }
 
-TEST_CASE("a receiver that does not read holds the sender back", "[http]") {
+TEST_CASE("a receiver that does not read slows the sender down", "[http]") {
   int sent = 0;
   HttpPair pair;
   constexpr int Parts = 2000;
@@ -210,36 +211,36 @@
   REQUIRE(bytes == Parts * PartBytes);
 }
 
-TEST_CASE("a caller who goes away is told once, at any stage", "[http]") {
+TEST_CASE("a disconnect of the caller is reported once, at any stage",
+          "[http]") {
   for (bool streaming : {false, true}) {
     CAPTURE(streaming);
-    int gone = 0;
+    int disconnects = 0;
     HttpPair pair;
-    auto &held = pair.Kept.emplace_back();
+    auto &kept = pair.KeptReplies.emplace_back();
     pair.serve([&](const HttpIncoming &, const ReplyPtr &reply) {
-      held = reply;
-      reply->onGone([&] { ++gone; });
+      kept = reply;
+      reply->onGone([&] { ++disconnects; });
       if (streaming)
         reply->startStream(200, {});
     });
     auto peer = RawPeer::to(pair.Context, pair.Server->port());
     peer->send(post(0));
     REQUIRE(
-        pair.until([&] { return held && (!streaming || peer->has("OK")); }));
+        pair.until([&] { return kept && (!streaming || peer->has("OK")); }));
     peer->shut();
-    REQUIRE(pair.until([&] { return gone == 1; }));
-    bool told = false;
-    held->sendPart("late", [&](bool ok) { told = !ok; });
-    REQUIRE(pair.until([&] { return told; }));
-    held->finishStream();
-    held.reset();
+    REQUIRE(pair.until([&] { return disconnects == 1; }));
+    bool reported = false;
+    kept->sendPart("late", [&](bool ok) { reported = !ok; });
+    REQUIRE(pair.until([&] { return reported; }));
+    kept->finishStream();
+    kept.reset();
     pair.settle();
-    REQUIRE(gone == 1);
+    REQUIRE(disconnects == 1);
   }
 }
 
-TEST_CASE("an answer that is broken off is not whole for the caller",
-          "[http]") {
+TEST_CASE("an aborted answer is incomplete for the caller", "[http]") {
   for (std::string how : {"before", "head", "part", "dropped"}) {
     CAPTURE(how);
     HttpPair pair;
@@ -252,7 +253,7 @@
         reply->abort();
     });
     Answer answer;
-    REQUIRE(pair.ask(pair.request(), answer));
+    REQUIRE(pair.exchange(pair.request(), answer));
     REQUIRE_FALSE(answer.Result.Whole);
     REQUIRE(answer.Result.MayHaveSent);
     REQUIRE(answer.Ends == 1);
@@ -260,59 +261,60 @@
   HttpPair pair;
   pair.serve([](const HttpIncoming &, const ReplyPtr &) {});
   Answer unanswered;
-  REQUIRE(pair.ask(pair.request(), unanswered));
+  REQUIRE(pair.exchange(pair.request(), unanswered));
   REQUIRE(unanswered.Result.Status == 500);
 }
 
-TEST_CASE("two requests on one connection keep their own answers and hooks",
+TEST_CASE("two requests on one connection have separate answers and hooks",
           "[http]") {
-  std::vector<int> gone(3);
+  std::vector<int> disconnects(3);
   HttpPair pair;
-  auto &held = pair.Kept;
+  auto &kept = pair.KeptReplies;
   pair.serve([&](const HttpIncoming &, ReplyPtr reply) {
-    auto turn = held.size();
-    reply->onGone([&, turn] { ++gone[turn]; });
-    held.push_back(std::move(reply));
+    auto index = kept.size();
+    reply->onGone([&, index] { ++disconnects[index]; });
+    kept.push_back(std::move(reply));
   });
   auto peer = RawPeer::to(pair.Context, pair.Server->port());
   peer->send(post(0) + post(0));
-  REQUIRE(pair.until([&] { return held.size() == 2; }));
-  held[1]->sendWhole(200, {}, "second");
+  REQUIRE(pair.until([&] { return kept.size() == 2; }));
+  kept[1]->sendWhole(200, {}, "second");
   pair.settle();
   REQUIRE_FALSE(peer->has("second"));
-  held[0]->sendWhole(200, {}, "first");
+  kept[0]->sendWhole(200, {}, "first");
   REQUIRE(pair.until([&] { return peer->has("second"); }));
   REQUIRE(peer->Text.find("first") < peer->Text.find("second"));
-  // A reply that is kept after its end does not touch the next one's hook.
+  // A reply that is kept after its end does not affect the hook of the next
+  // one.
   peer->send(post(0));
-  REQUIRE(pair.until([&] { return held.size() == 3; }));
-  held[0].reset();
-  held[1].reset();
+  REQUIRE(pair.until([&] { return kept.size() == 3; }));
+  kept[0].reset();
+  kept[1].reset();
   peer->shut();
-  REQUIRE(pair.until([&] { return gone[2] == 1; }));
-  REQUIRE(gone[0] + gone[1] == 0);
+  REQUIRE(pair.until([&] { return disconnects[2] == 1; }));
+  REQUIRE(disconnects[0] + disconnects[1] == 0);
 }
 
-TEST_CASE("one of two running requests may end and the other's hook stays",
+TEST_CASE("the hook of a running request stays when another one ends",
           "[http]") {
-  std::vector<int> gone(2);
+  std::vector<int> disconnects(2);
   HttpPair pair;
-  auto &held = pair.Kept;
+  auto &kept = pair.KeptReplies;
   pair.serve([&](const HttpIncoming &, ReplyPtr reply) {
-    auto turn = held.size();
-    reply->onGone([&, turn] { ++gone[turn]; });
-    held.push_back(std::move(reply));
+    auto index = kept.size();
+    reply->onGone([&, index] { ++disconnects[index]; });
+    kept.push_back(std::move(reply));
   });
   auto peer = RawPeer::to(pair.Context, pair.Server->port());
   peer->send(post(0) + post(0));
-  REQUIRE(pair.until([&] { return held.size() == 2; }));
-  held[1]->sendWhole(200, {}, "second");
+  REQUIRE(pair.until([&] { return kept.size() == 2; }));
+  kept[1]->sendWhole(200, {}, "second");
   peer->shut();
-  REQUIRE(pair.until([&] { return gone[0] == 1; }));
-  REQUIRE(gone[1] == 0);
+  REQUIRE(pair.until([&] { return disconnects[0] == 1; }));
+  REQUIRE(disconnects[1] == 0);
 }
 
-TEST_CASE("what is over a limit gets a clear refusal and reaches no handler",
+TEST_CASE("a request over a limit is refused and reaches no handler",
           "[http]") {
   int handled = 0;
   HttpPair pair;
@@ -347,18 +349,18 @@
     peer->send(it.Text);
     REQUIRE(pair.until([&] { return peer->has("\r\n\r\n") || peer->Closed; }));
     CHECK(peer->Text.substr(0, 12) == it.Expected);
-    bool fine = it.Expected == "HTTP/1.1 200";
-    CHECK(peer->has(fine ? "fine" : "X-Outcome: not-run"));
-    accepted += fine;
+    bool isAccepted = it.Expected == "HTTP/1.1 200";
+    CHECK(peer->has(isAccepted ? "fine" : "X-Outcome: not-run"));
+    accepted += isAccepted;
     peer->shut();
     pair.settle();
   }
   REQUIRE(handled == accepted);
   // Far over a limit the connection is closed without an answer.
-  auto far = RawPeer::to(pair.Context, pair.Server->port());
-  far->send(post(1000000));
-  REQUIRE(pair.until([&] { return far->Closed; }));
-  REQUIRE(far->Text.empty());
+  auto oversized = RawPeer::to(pair.Context, pair.Server->port());
+  oversized->send(post(1000000));
+  REQUIRE(pair.until([&] { return oversized->Closed; }));
+  REQUIRE(oversized->Text.empty());
   auto first = RawPeer::to(pair.Context, pair.Server->port());
   auto second = RawPeer::to(pair.Context, pair.Server->port());
   pair.settle();
@@ -372,12 +374,12 @@
 }
 
 TEST_CASE("a transfer can be cancelled at any stage, once", "[http]") {
-  int gone = 0;
+  int disconnects = 0;
   HttpPair pair;
-  auto &held = pair.Kept.emplace_back();
+  auto &kept = pair.KeptReplies.emplace_back();
   pair.serve([&](const HttpIncoming &, const ReplyPtr &reply) {
-    held = reply;
-    reply->onGone([&] { ++gone; });
+    kept = reply;
+    reply->onGone([&] { ++disconnects; });
     reply->startStream(200, {});
     reply->sendPart("part", nullptr);
   });
@@ -392,27 +394,27 @@
   pair.Client->cancel(ticket);
   pair.Client->cancel(ticket);
   pair.Client->resume(ticket);
-  REQUIRE(pair.until([&] { return late.Ends == 1 && gone == 1; }));
+  REQUIRE(pair.until([&] { return late.Ends == 1 && disconnects == 1; }));
   pair.settle();
   REQUIRE(late.Ends == 1);
   REQUIRE(late.Result.Cancelled);
   REQUIRE(late.Result.MayHaveSent);
 }
 
-TEST_CASE("only a request whose bytes may have left may have been sent",
+TEST_CASE("MayHaveSent is false only if no byte of the request was sent",
           "[http]") {
   HttpPair pair;
   Answer refused;
   HttpRequest request;
   request.Url = pair.url(pair.deadPort());
-  REQUIRE(pair.ask(request, refused));
+  REQUIRE(pair.exchange(request, refused));
   REQUIRE_FALSE(refused.Result.Whole);
   REQUIRE_FALSE(refused.Result.MayHaveSent);
   REQUIRE_FALSE(refused.Result.Error.empty());
   RawServer closer(pair.Context, [](RawPeer &peer) { peer.shut(); });
   request.Url = pair.url(closer.port());
   Answer cut;
-  REQUIRE(pair.ask(request, cut));
+  REQUIRE(pair.exchange(request, cut));
   REQUIRE_FALSE(cut.Result.Whole);
   REQUIRE(cut.Result.MayHaveSent);
   for (std::string half :
@@ -425,11 +427,11 @@
       peer.send(half);
       peer.OnText = nullptr;
       asio::post(pair.Context,
-                 [held = peer.shared_from_this()] { held->shut(); });
+                 [kept = peer.shared_from_this()] { kept->shut(); });
     });
     request.Url = pair.url(server.port());
     Answer broken;
-    REQUIRE(pair.ask(request, broken));
+    REQUIRE(pair.exchange(request, broken));
     REQUIRE_FALSE(broken.Result.Whole);
     REQUIRE(broken.Result.MayHaveSent);
   }
@@ -438,7 +440,7 @@
 TEST_CASE("a request that must not run twice is not sent twice", "[http]") {
   int received = 0;
   HttpPair pair;
-  // Answers the first request of a connection, and breaks it at the next.
+  // Answers the first request of a connection and breaks it at the next one.
   RawServer server(pair.Context, [&](RawPeer &peer) {
     if (peer.Closed || !peer.has("\r\n\r\n"))
       return;
@@ -453,18 +455,18 @@
   request.Method = "POST";
   request.Url = pair.url(server.port());
   Answer first;
-  REQUIRE(pair.ask(request, first));
+  REQUIRE(pair.exchange(request, first));
   REQUIRE(first.Result.Whole);
-  // A kept connection that breaks under a request: it may have been run, so
-  // libcurl must not send it once more by itself.
+  // A reused connection breaks after the request was sent. The request may have
+  // been run, so libcurl must not retry it.
   Answer again;
-  REQUIRE(pair.ask(request, again));
+  REQUIRE(pair.exchange(request, again));
   REQUIRE_FALSE(again.Result.Whole);
   REQUIRE(again.Result.MayHaveSent);
   REQUIRE(received == 2);
   request.FreshConnection = true;
   Answer fresh;
-  REQUIRE(pair.ask(request, fresh));
+  REQUIRE(pair.exchange(request, fresh));
   REQUIRE(fresh.Result.Whole);
   REQUIRE(received == 3);
   RawServer breaker(pair.Context, [&](RawPeer &peer) {
@@ -473,20 +475,20 @@
   });
   request.Url = pair.url(breaker.port());
   Answer broken;
-  REQUIRE(pair.ask(request, broken));
+  REQUIRE(pair.exchange(request, broken));
   REQUIRE_FALSE(broken.Result.Whole);
   REQUIRE(received == 4);
 }
 
-TEST_CASE("client and server may go while transfers run", "[http]") {
+TEST_CASE("client and server can be destroyed while transfers run", "[http]") {
   for (bool clientFirst : {false, true}) {
     std::vector<Answer> answers(20);
     HttpPair pair;
-    auto &held = pair.Kept;
+    auto &kept = pair.KeptReplies;
     pair.serve([&](const HttpIncoming &, ReplyPtr reply) {
       reply->startStream(200, {});
       reply->sendPart("part", nullptr);
-      held.push_back(std::move(reply));
+      kept.push_back(std::move(reply));
     });
     for (auto &answer : answers)
       pair.Client->start(pair.request(), answer.hooks());
@@ -496,7 +498,7 @@
     pair.Server.reset();
     pair.Context.restart();
     pair.Context.poll();
-    for (auto &reply : held) {
+    for (auto &reply : kept) {
       reply->sendPart("late", nullptr);
       reply->finishStream();
     }
@@ -512,7 +514,7 @@
   HttpPair pair;
   pair.serve([&](const HttpIncoming &, const ReplyPtr &reply) {
     reply->startStream(200, {});
-    pump(reply, 1, 50, 10);
+    sendParts(reply, 1, 50, 10);
   });
   std::atomic<std::size_t> over{0};
   for (auto &answer : answers) {
@@ -532,6 +534,6 @@
     thread.join();
   for (auto &answer : answers) {
     REQUIRE(answer.Result.Whole);
-    REQUIRE(answer.Body == numbered(50, 10));
+    REQUIRE(answer.Body == numberedParts(50, 10));
   }
 }
--- a/UnitTests/Transport/Loopback.h
+++ b/UnitTests/Transport/Loopback.h
@@ -9,15 +9,15 @@
 
 namespace hemlockglade {
 
-/// One io_context that a test runs by hand. A verdict comes from what
-/// happened, never from how long it took; the bounds only end a test that
+/// An io_context that a test runs step by step. The result of a test depends on
+/// what happened, never on how long it took; the timeout only ends a test that
 /// would hang.
 class Loopback {
 public:
-  /// Runs handlers until the condition holds.
+  /// Runs handlers until the condition holds; returns false on timeout.
   bool until(const std::function<bool()> &condition) {
-    constexpr auto HangBound = std::chrono::seconds(20);
-    auto bound = std::chrono::steady_clock::now() + HangBound;
+    constexpr auto HangTimeout = std::chrono::seconds(20);
+    auto bound = std::chrono::steady_clock::now() + HangTimeout;
     while (!condition() && std::chrono::steady_clock::now() < bound) {
       Context.restart();
       Context.run_one_until(bound);
@@ -25,17 +25,18 @@
     return condition();
   }
 
-  /// Runs what is ready until nothing is, `rounds` times over, with real I/O
-  /// of its own in between, so that what was on its way has arrived.
+  /// Runs all ready handlers, `rounds` times. Before each round it makes a
+  /// connection of its own, so that data sent before has arrived.
   void settle(int rounds = 3) {
     for (int it = 0; it < rounds; ++it) {
       asio::ip::tcp::acceptor acceptor(Context, localhost(0));
       asio::ip::tcp::socket socket(Context);
-      bool there = false;
+      bool connected = false;
       acceptor.async_accept([](asio::error_code, asio::ip::tcp::socket) {});
-      socket.async_connect(acceptor.local_endpoint(),
-                           [&there](asio::error_code) { there = true; });
-      until([&there] { return there; });
+      socket.async_connect(
+          acceptor.local_endpoint(),
+          [&connected](asio::error_code) { connected = true; });
+      until([&connected] { return connected; });
       Context.restart();
       Context.poll();
     }
@@ -51,7 +52,7 @@
     return "http://" + address(port) + path;
   }
 
-  /// A port that nobody listens on.
+  /// Returns a port that no socket listens on.
   std::uint16_t deadPort() {
     asio::ip::tcp::acceptor acceptor(Context, localhost(0));
     return acceptor.local_endpoint().port();
@@ -60,7 +61,7 @@
   asio::io_context Context;
 };
 
-/// A bare TCP connection that gathers what it reads.
+/// A plain TCP connection that collects the bytes it reads.
 class RawPeer : public std::enable_shared_from_this<RawPeer> {
 public:
   explicit RawPeer(asio::ip::tcp::socket socket) : Socket(std::move(socket)) {}
@@ -88,9 +89,9 @@
   }
 
   void send(std::string data) {
-    auto held = std::make_shared<std::string>(std::move(data));
-    asio::async_write(Socket, asio::buffer(*held),
-                      [held](asio::error_code, std::size_t) {});
+    auto buffer = std::make_shared<std::string>(std::move(data));
+    asio::async_write(Socket, asio::buffer(*buffer),
+                      [buffer](asio::error_code, std::size_t) {});
   }
 
   void shut() {
@@ -111,7 +112,7 @@
   std::array<char, 65536> Buffer;
 };
 
-/// Accepts bare connections.
+/// Accepts plain TCP connections.
 class RawServer {
 public:
   RawServer(asio::io_context &context, std::function<void(RawPeer &)> onText)
@@ -145,7 +146,7 @@
   std::function<void(RawPeer &)> OnText;
 };
 
-/// One answer as the client's hooks told it.
+/// One answer as reported by the client's hooks.
 struct Answer {
   HttpFields Fields;
   std::string Body;
--- a/UnitTests/Transport/Peer/PeerLeakTest.cpp
+++ b/UnitTests/Transport/Peer/PeerLeakTest.cpp
@@ -4,14 +4,14 @@
 
 using namespace hemlockglade;
 
-TEST_CASE("a stream that one side ends is over on both", "[peer]") {
+TEST_CASE("a stream that one side closes ends and is freed on both", "[peer]") {
   asio::io_context context;
-  std::weak_ptr<PeerStream> served;
-  bool servedEnded = false;
+  std::weak_ptr<PeerStream> accepted;
+  bool acceptedEnded = false;
   PeerNet server(context, "127.0.0.1", 0,
                  [&](const std::shared_ptr<PeerStream> &stream) {
-                   served = stream;
-                   stream->OnClosed = [&](bool) { servedEnded = true; };
+                   accepted = stream;
+                   stream->OnClosed = [&](bool) { acceptedEnded = true; };
                  });
   PeerNet client(context, "127.0.0.1", 0, nullptr);
   std::weak_ptr<PeerStream> opened;
@@ -26,11 +26,11 @@
   }
   constexpr int MaxHandlers = 100;
   int n = 0;
-  while (!(served.expired() && opened.expired() && openedEnded) &&
+  while (!(accepted.expired() && opened.expired() && openedEnded) &&
          n++ < MaxHandlers)
     context.run_one_for(std::chrono::seconds(1));
-  CHECK(servedEnded);
+  CHECK(acceptedEnded);
   CHECK(openedEnded);
-  CHECK(served.expired());
+  CHECK(accepted.expired());
   CHECK(opened.expired());
 }
--- a/UnitTests/Transport/PeerTest.cpp
+++ b/UnitTests/Transport/PeerTest.cpp
@@ -10,15 +10,15 @@
 
 using StreamPtr = std::shared_ptr<PeerStream>;
 
-/// What one end of a stream saw.
-struct End {
+/// Records the messages and the end of one side of a stream.
+struct StreamRecorder {
   std::vector<std::string> Messages;
-  std::vector<bool> Ends;
+  std::vector<bool> Closes;
 
   PeerHooks hooks() {
     return {
         [this](std::string_view message) { Messages.emplace_back(message); },
-        [this](bool clean) { Ends.push_back(clean); }};
+        [this](bool clean) { Closes.push_back(clean); }};
   }
   void attach(PeerStream &stream) {
     auto own = hooks();
@@ -27,7 +27,8 @@
   }
 };
 
-/// Two nodes' networks on one context; `Accept` is the server's.
+/// The networks of two nodes on one context. `Accept` gets the streams that the
+/// server accepts.
 struct PeerPair : Loopback {
   PeerLink::OnStream Accept;
   std::unique_ptr<PeerNet> Server = std::make_unique<PeerNet>(
@@ -39,21 +40,21 @@
   ~PeerPair() {
     Client.reset();
     Server.reset();
-    // What throws here has failed its test before.
+    // An exception here means that the test has failed before.
     try {
       settle();
     } catch (const std::exception &) {
     }
   }
 
-  StreamPtr open(End &end, std::string message = "hello") {
+  StreamPtr open(StreamRecorder &end, std::string message = "hello") {
     return Client->open(address(Server->port()), "/test", std::move(message),
                         end.hooks());
   }
 };
 
-/// The frames of a bare HTTP/2 client that opens stream 1 to /admit, with
-/// `data` in it.
+/// Returns the frames of a minimal HTTP/2 client that opens stream 1 to /admit
+/// and sends `data` on it.
 std::string rawFrames(const std::string &data, char flags = 0) {
   auto frame = [](char type, char bits, char stream, const std::string &body) {
     std::string out{static_cast<char>(body.size() >> 16U),
@@ -74,9 +75,10 @@
 
 } // namespace
 
-TEST_CASE("messages arrive whole and in order, both ways", "[peer]") {
-  End server;
-  End client;
+TEST_CASE("messages arrive complete and in order in both directions",
+          "[peer]") {
+  StreamRecorder server;
+  StreamRecorder client;
   PeerPair pair;
   pair.Accept = [&](const StreamPtr &stream) {
     REQUIRE(stream->path() == "/test");
@@ -96,18 +98,18 @@
     REQUIRE(client.Messages[it] == "re " + std::to_string(it));
   }
   REQUIRE(client.Messages[300] == "re ");
-  REQUIRE(client.Ends.empty());
-  REQUIRE(server.Ends.empty());
+  REQUIRE(client.Closes.empty());
+  REQUIRE(server.Closes.empty());
 }
 
-TEST_CASE("an end is told to both sides once, clean or broken, and the stream "
-          "is forgotten",
+TEST_CASE("the end of a stream is reported once to both sides, and the stream "
+          "is freed",
           "[peer]") {
   for (std::string how :
        {"client", "server", "both", "client-net", "server-net"}) {
     CAPTURE(how);
-    End server;
-    End client;
+    StreamRecorder server;
+    StreamRecorder client;
     StreamPtr accepted;
     PeerPair pair;
     pair.Accept = [&](StreamPtr stream) {
@@ -127,15 +129,15 @@
       (how == "client-net" ? pair.Client : pair.Server)->close();
     }
     REQUIRE(pair.until(
-        [&] { return client.Ends.size() + server.Ends.size() >= 2; }));
+        [&] { return client.Closes.size() + server.Closes.size() >= 2; }));
     std::weak_ptr<PeerStream> left = stream;
     std::weak_ptr<PeerStream> right = accepted;
     stream.reset();
     accepted.reset();
     REQUIRE(pair.until([&] { return left.expired() && right.expired(); }));
     bool clean = !how.ends_with("-net");
-    REQUIRE(client.Ends == std::vector{clean});
-    REQUIRE(server.Ends == std::vector{clean});
+    REQUIRE(client.Closes == std::vector{clean});
+    REQUIRE(server.Closes == std::vector{clean});
     if (clean) {
       REQUIRE(server.Messages.back() == "last");
       REQUIRE(client.Messages.back() == "reply");
@@ -143,11 +145,10 @@
   }
 }
 
-TEST_CASE("many streams share one connection and leave nothing behind",
-          "[peer]") {
+TEST_CASE("many streams share one connection and are all freed", "[peer]") {
   constexpr std::size_t Count = 3000;
   std::vector<std::weak_ptr<PeerStream>> accepted;
-  std::vector<End> ends(Count);
+  std::vector<StreamRecorder> ends(Count);
   std::vector<StreamPtr> streams;
   PeerPair pair;
   pair.Accept = [&](const StreamPtr &stream) {
@@ -170,8 +171,8 @@
   }));
 }
 
-TEST_CASE("a stream that can't be opened ends", "[peer]") {
-  End closed;
+TEST_CASE("OnClosed is called for a stream that can't be opened", "[peer]") {
+  StreamRecorder closed;
   PeerPair pair;
   auto dead = Loopback::address(pair.deadPort());
   for (const std::string &address :
@@ -179,25 +180,25 @@
         std::string("host:80"), std::string()}) {
     CAPTURE(address);
     for (int again = 0; again < 2; ++again) {
-      End client;
+      StreamRecorder client;
       auto stream = pair.Client->open(address, "/test", "x", client.hooks());
-      REQUIRE(pair.until([&] { return !client.Ends.empty(); }));
+      REQUIRE(pair.until([&] { return !client.Closes.empty(); }));
       stream->send("late");
       stream->close();
       pair.settle();
-      REQUIRE(client.Ends == std::vector{false});
+      REQUIRE(client.Closes == std::vector{false});
     }
   }
   pair.Client->close();
   auto stream = pair.open(closed);
-  REQUIRE(pair.until([&] { return !closed.Ends.empty(); }));
-  REQUIRE(closed.Ends == std::vector{false});
+  REQUIRE(pair.until([&] { return !closed.Closes.empty(); }));
+  REQUIRE(closed.Closes == std::vector{false});
 }
 
-TEST_CASE("a stream opened from the end of another finds a new connection",
+TEST_CASE("a stream opened in OnClosed of another uses a new connection",
           "[peer]") {
-  End first;
-  End second;
+  StreamRecorder first;
+  StreamRecorder second;
   StreamPtr next;
   PeerPair pair;
   pair.Accept = [&](const StreamPtr &stream) {
@@ -219,9 +220,9 @@
   REQUIRE(pair.until([&] { return !second.Messages.empty(); }));
 }
 
-TEST_CASE("large messages pass", "[peer]") {
-  End server;
-  End client;
+TEST_CASE("a message of the maximum size arrives", "[peer]") {
+  StreamRecorder server;
+  StreamRecorder client;
   PeerPair pair;
   pair.Accept = [&](const StreamPtr &stream) { server.attach(*stream); };
   std::string large(std::size_t{16} * 1024 * 1024, 'm');
@@ -233,25 +234,26 @@
   REQUIRE(server.Messages[1] == "small");
 }
 
-TEST_CASE("a malformed length breaks the connection and doubles no message",
+TEST_CASE("a malformed length breaks the connection and repeats no message",
           "[peer]") {
-  End server;
+  StreamRecorder server;
   PeerPair pair;
   pair.Accept = [&](const StreamPtr &stream) { server.attach(*stream); };
   auto good = framed(4, "good");
   auto bad = framed(0xffffffffU, "");
   auto peer = RawPeer::to(pair.Context, pair.Server->port());
   auto frames = rawFrames(good + bad);
-  // More of the same stream, in the same read.
+  // More data of the same stream in the same read.
   frames += std::string("\0\0\x04\0\0\0\0\0\x01more", 13);
   peer->send(frames);
   REQUIRE(pair.until([&] { return peer->Closed; }));
   REQUIRE(server.Messages == std::vector<std::string>{"good"});
-  REQUIRE(server.Ends == std::vector{false});
-  // What is no HTTP/2 at all, and a message that is cut by the stream's end.
+  REQUIRE(server.Closes == std::vector{false});
+  // Bytes that are not HTTP/2, and a message that is cut off by the end of its
+  // stream.
   for (auto &text : {std::string("GET / HTTP/1.1\r\n\r\n"),
                      rawFrames(framed(9, "half"), 1)}) {
-    End other;
+    StreamRecorder other;
     pair.Accept = [&](const StreamPtr &stream) { other.attach(*stream); };
     auto next = RawPeer::to(pair.Context, pair.Server->port());
     next->send(text);
@@ -262,8 +264,9 @@
   }
 }
 
-TEST_CASE("a peer that does not read can't fill our memory", "[peer]") {
-  End server;
+TEST_CASE("a stream whose peer does not read is broken at the queue limit",
+          "[peer]") {
+  StreamRecorder server;
   StreamPtr accepted;
   PeerPair pair;
   pair.Accept = [&](StreamPtr stream) {
@@ -274,16 +277,16 @@
   peer->send(rawFrames(framed(4, "good")));
   REQUIRE(pair.until([&] { return server.Messages.size() == 1; }));
   std::string message(std::size_t{1024} * 1024, 'm');
-  for (int it = 0; it < 100 && server.Ends.empty(); ++it) {
+  for (int it = 0; it < 100 && server.Closes.empty(); ++it) {
     accepted->send(message);
     pair.settle(1);
   }
-  REQUIRE(server.Ends == std::vector{false});
+  REQUIRE(server.Closes == std::vector{false});
 }
 
-TEST_CASE("a network may go while others still call it", "[peer]") {
+TEST_CASE("a network can be destroyed while its streams are in use", "[peer]") {
   std::vector<StreamPtr> accepted;
-  std::vector<End> ends(10);
+  std::vector<StreamRecorder> ends(10);
   std::vector<StreamPtr> streams;
   PeerPair pair;
   pair.Accept = [&](const StreamPtr &stream) { accepted.push_back(stream); };
@@ -300,5 +303,5 @@
     stream->close();
   REQUIRE(pair.until([&] { return late->Closed; }));
   for (auto &end : ends)
-    REQUIRE(end.Ends == std::vector{false});
+    REQUIRE(end.Closes == std::vector{false});
 }
