--- a/Bench/Core/Baselines/LruCore.cpp
+++ b/Bench/Core/Baselines/LruCore.cpp
@@ -178,7 +178,7 @@
   });
 }
 
-void LruCore::on(const ReplicaSilent &event) {
+void LruCore::on(const ReplicaReportMissed &event) {
   auto it = Replicas.find(event.Replica);
   if (it != Replicas.end())
     it->second.Silent = true;
--- a/Bench/Core/Simulation.cpp
+++ b/Bench/Core/Simulation.cpp
@@ -269,7 +269,7 @@
   auto &engine = *node(replica).Engine;
   bool missing = Draw.uniform() < Work.ReportGaps;
   if (!engine.up() || missing) {
-    driveLater(ReplicaSilent{replica});
+    driveLater(ReplicaReportMissed{replica});
     return;
   }
   auto report = engine.report();
--- a/Hemlockglade/Coordination/Config/ConfigObjects.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigObjects.cpp
@@ -58,7 +58,7 @@
 void dropObjects(const ConfigHooks &hooks, const std::string &name,
                  std::size_t count) {
   for (std::size_t it = 0; it < count; ++it)
-    hooks.DropObject(objectName(name, it));
+    hooks.RemoveObject(objectName(name, it));
 }
 
 void loadDeltaText(const ConfigHooks &hooks, std::string row,
--- a/Hemlockglade/Coordination/Config/ConfigReplicator.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigReplicator.cpp
@@ -34,7 +34,8 @@
   catchUp();
 }
 
-void ConfigReplicator::learn(Revision number, const std::string &peer) {
+void ConfigReplicator::onPeerRevision(Revision number,
+                                      const std::string &peer) {
   {
     std::lock_guard lock(Mutex);
     HasReport = true;
@@ -124,10 +125,10 @@
 
 ConfigHooks ConfigReplicator::timeoutExtendingHooks(std::uint64_t token) {
   ConfigHooks hooks = Hooks;
-  hooks.AskPeer = [self = shared_from_this(), token](auto peer, auto fetch,
-                                                     auto done) {
+  hooks.FetchFromPeer = [self = shared_from_this(),
+                         token](auto peer, auto fetch, auto done) {
     self->restartTimeout(token);
-    self->Hooks.AskPeer(std::move(peer), fetch, std::move(done));
+    self->Hooks.FetchFromPeer(std::move(peer), fetch, std::move(done));
   };
   hooks.GetObject = [self = shared_from_this(), token](auto name, auto done) {
     self->restartTimeout(token);
@@ -172,10 +173,10 @@
 
 void ConfigReplicator::fetchFromPeer(std::uint64_t token,
                                      const std::string &peer) {
-  Hooks.AskPeer(peer, {current()->number(), -1},
-                [self = shared_from_this(), token, peer](auto answer) {
-                  self->onPeerAnswer(token, peer, std::move(answer));
-                });
+  Hooks.FetchFromPeer(peer, {current()->number(), -1},
+                      [self = shared_from_this(), token, peer](auto answer) {
+                        self->onPeerAnswer(token, peer, std::move(answer));
+                      });
 }
 
 void ConfigReplicator::onPeerAnswer(std::uint64_t token,
--- a/Hemlockglade/Coordination/Config/ConfigReplicator.h
+++ b/Hemlockglade/Coordination/Config/ConfigReplicator.h
@@ -21,7 +21,7 @@
   /// called about once a second.
   void round();
   /// Called when a peer reported that this revision exists.
-  void learn(Revision number, const std::string &peer);
+  void onPeerRevision(Revision number, const std::string &peer);
   /// Commits a proposal to the table; `done` gets the outcome.
   void propose(ConfigProposal proposal, ConfigCallback done);
   /// Returns the answer to a peer's request.
--- a/Hemlockglade/Coordination/Config/ConfigTransfer.cpp
+++ b/Hemlockglade/Coordination/Config/ConfigTransfer.cpp
@@ -9,13 +9,13 @@
 
 void ConfigTransfer::request(ConfigFetch fetch, OnAnswer next) {
   std::uint64_t step = ++Step;
-  Hooks.AskPeer(Peer, fetch,
-                [self = shared_from_this(), step, next](auto answer) {
-                  // Only the first answer to a request is used.
-                  auto expected = step;
-                  if (self->Step.compare_exchange_strong(expected, step + 1))
-                    ((*self).*next)(std::move(answer));
-                });
+  Hooks.FetchFromPeer(
+      Peer, fetch, [self = shared_from_this(), step, next](auto answer) {
+        // Only the first answer to a request is used.
+        auto expected = step;
+        if (self->Step.compare_exchange_strong(expected, step + 1))
+          ((*self).*next)(std::move(answer));
+      });
 }
 
 void ConfigTransfer::requestPiece() {
--- a/Hemlockglade/Coordination/Config/ConfigTypes.h
+++ b/Hemlockglade/Coordination/Config/ConfigTypes.h
@@ -134,13 +134,13 @@
                      std::function<void(std::optional<std::string>)> done)>
       GetObject;
   /// Removes an object, without reporting the result.
-  std::function<void(std::string name)> DropObject;
-  /// Returns a live peer to pass to `AskPeer`, not always the same; nothing if
-  /// there is none.
+  std::function<void(std::string name)> RemoveObject;
+  /// Returns a live peer to pass to `FetchFromPeer`, not always the same;
+  /// nothing if there is none.
   std::function<std::optional<std::string>()> AnyPeer;
   std::function<void(std::string peer, ConfigFetch fetch,
                      std::function<void(std::optional<ConfigAnswer>)> done)>
-      AskPeer;
+      FetchFromPeer;
   /// Called when a higher revision is in force, one call at a time and in
   /// rising order of revisions.
   std::function<void(std::shared_ptr<const CatalogView>)> OnInForce;
--- a/Hemlockglade/Coordination/Decision/CellCore.cpp
+++ b/Hemlockglade/Coordination/Decision/CellCore.cpp
@@ -59,7 +59,7 @@
     admitOnReplica(event.Replica);
 }
 
-void CellCore::on(const ReplicaSilent &event) {
+void CellCore::on(const ReplicaReportMissed &event) {
   Residency.onReportMissed(event.Replica);
 }
 
--- a/Hemlockglade/Coordination/Decision/CellCore.h
+++ b/Hemlockglade/Coordination/Decision/CellCore.h
@@ -35,7 +35,7 @@
   void on(const ReplicaRemoved &event);
   void on(const ReplicaDraining &event);
   void on(const ReplicaReport &event);
-  void on(const ReplicaSilent &event);
+  void on(const ReplicaReportMissed &event);
   void on(const LeaseChanged &event);
   void on(const LoadLimitChanged &event);
   void on(const PinChanged &event);
--- a/Hemlockglade/Coordination/Decision/CoreTypes.h
+++ b/Hemlockglade/Coordination/Decision/CoreTypes.h
@@ -166,7 +166,7 @@
 };
 
 /// The replica did not answer a request for a report; it may be down.
-struct ReplicaSilent {
+struct ReplicaReportMissed {
   ReplicaKey Replica = 0;
 };
 
@@ -213,9 +213,9 @@
 using Event =
     std::variant<RequestArrived, RequestFinished, RequestAdopted, LoadDone,
                  LoadFailed, EvictDone, ReplicaAdded, ReplicaRemoved,
-                 ReplicaDraining, ReplicaReport, ReplicaSilent, LeaseChanged,
-                 LoadLimitChanged, PinChanged, RuleChanged, OperatorLoad,
-                 ObjectiveChanged, Tick>;
+                 ReplicaDraining, ReplicaReport, ReplicaReportMissed,
+                 LeaseChanged, LoadLimitChanged, PinChanged, RuleChanged,
+                 OperatorLoad, ObjectiveChanged, Tick>;
 
 // Actions: the outputs of the core, to be carried out by the driver.
 
--- a/Hemlockglade/Coordination/Orders/CellPlacement.cpp
+++ b/Hemlockglade/Coordination/Orders/CellPlacement.cpp
@@ -118,7 +118,7 @@
   if (Options.FastHalfLife <= Span(0))
     return slow;
   double fast = decayed(demand.FastWeight, age, Options.FastHalfLife);
-  bool isReliable = fast >= Options.FastLeast;
+  bool isReliable = fast >= Options.MinFastWeight;
   return isReliable ? std::max(slow, rateOfWeight(fast, Options.FastHalfLife))
                     : slow;
 }
@@ -263,7 +263,7 @@
     if (state.Replaced)
       continue;
     for (const auto &[weights, held] : state.Held)
-      if (!held.Leaving && isCurrent(weights, held.Version))
+      if (!held.Evicting && isCurrent(weights, held.Version))
         ++Copies[{state.Record->Service, weights}];
     if (state.PendingAdapter && !state.Held.contains(*state.PendingAdapter))
       ++Copies[{state.Record->Service, *state.PendingAdapter}];
@@ -297,7 +297,7 @@
                                     const WeightsRef &weights) {
   state.RecentlyDropped.remove(weights);
   state.RecentlyDropped.push_front(weights);
-  if (state.RecentlyDropped.size() > Options.QuickMemory)
+  if (state.RecentlyDropped.size() > Options.MaxRecentlyDropped)
     state.RecentlyDropped.pop_back();
 }
 
@@ -363,7 +363,7 @@
   case OrderAnswer::Fenced:
   case OrderAnswer::Unknown:
     if (!load && state.Held.contains(order.Weights))
-      state.Held[order.Weights].Leaving = false;
+      state.Held[order.Weights].Evicting = false;
     // An order without an answer may be carried out at any time, but not after
     // another one that expects the same count: the next order settles which of
     // the two is carried out, so nothing has to wait.
@@ -422,10 +422,10 @@
   }
   state.ModelLoadUntil = std::min(state.ModelLoadUntil, now);
   for (const auto &[weights, held] : before) {
-    bool stillEvicting = held.Leaving && state.Held.contains(weights);
+    bool stillEvicting = held.Evicting && state.Held.contains(weights);
     if (!stillEvicting)
       continue;
-    state.Held[weights].Leaving = true;
+    state.Held[weights].Evicting = true;
     state.EvictionCheckDue = now + Options.RecheckDelay;
   }
 }
--- a/Hemlockglade/Coordination/Orders/CellPlacement.h
+++ b/Hemlockglade/Coordination/Orders/CellPlacement.h
@@ -18,7 +18,7 @@
   /// When it can serve; later than now while it is being loaded.
   Instant ReadyAt{};
   /// It is being evicted: no new request may be sent for it.
-  bool Leaving = false;
+  bool Evicting = false;
 
   bool operator==(const ResidentWeights &) const = default;
 };
@@ -49,50 +49,50 @@
     /// Limit of adapter loads in progress over the whole deployment.
     LoadConcurrency::Settings Concurrency;
     /// Maximum number of adapter loads in progress on one replica.
-    std::uint32_t LoadsPerReplica = 4;
+    std::uint32_t MaxLoadsPerReplica = 4;
     /// Load time of an adapter that the replica dropped recently, as a share of
     /// `AdapterLoadTime`.
     double ReloadTimeShare = 0.1;
     /// Preference, where the replica for a load is chosen, for one that dropped
     /// the adapter recently, as a share of an engine's slots in use.
-    double QuickGain = 0.5;
+    double ReloadGain = 0.5;
     /// Maximum preference for the replica that a hash assigns to the adapter,
     /// in the same unit, so that an adapter goes to the same engine again where
     /// nothing speaks against it.
-    double SamePlaceGain = 0.3;
+    double HashedReplicaGain = 0.3;
     /// Number of recently dropped adapters per replica that are assumed to load
     /// faster.
-    std::size_t QuickMemory = 100;
+    std::size_t MaxRecentlyDropped = 100;
     /// Half-life of the demand estimate.
     Span DemandHalfLife = std::chrono::seconds(8);
     /// Half-life of a second demand estimate, which is used where it is higher:
     /// an adapter whose demand rises within seconds gets its copies before the
-    /// slow estimate shows it. Below `FastLeast` requests the fast estimate is
-    /// not reliable and is not used. 0 switches it off.
+    /// slow estimate shows it. Below `MinFastWeight` requests the fast estimate
+    /// is not reliable and is not used. 0 switches it off.
     Span FastHalfLife = std::chrono::milliseconds(1000);
-    double FastLeast = 3;
+    double MinFastWeight = 3;
     /// Requests a second from which on an adapter that another cell holds gets
     /// a copy in this cell: a load costs as much as the bytes of several
     /// requests between failure domains.
-    double RateForCopy = 0.6;
+    double MinRateForCopy = 0.6;
     /// Requests a second that one copy serves before another copy is worth a
     /// slot.
-    double RatePerCopy = 3;
+    double MaxRatePerCopy = 3;
     /// Factor by which a load for demand alone, with no request waiting, must
     /// exceed the value of what it drops.
-    double GainOverVictim = 1.5;
+    double MinGainOverVictim = 1.5;
     /// An adapter that was requested this recently may be about to be used, and
     /// is not dropped.
     Span RecentUse = std::chrono::milliseconds(700);
     /// How long a report of congested requests counts towards a further copy.
-    Span PressedFor = std::chrono::milliseconds(700);
+    Span CongestedFor = std::chrono::milliseconds(700);
     /// Minimum requests a second for each copy while requests are congested, so
     /// that a short congestion does not drop all other adapters.
-    double PressedRatePerCopy = 1.5;
+    double CongestedRatePerCopy = 1.5;
     /// Timeout of a report of waiting requests. A node repeats the report every
     /// 200 ms; weights without a report for this long are no longer waited for
     /// and are not loaded.
-    Span WantLasts = std::chrono::milliseconds(700);
+    Span WaitReportTimeout = std::chrono::milliseconds(700);
     /// Order of loads that requests wait for: a second of waiting counts as
     /// this many requests a second.
     double WaitWeight = 0.2;
--- a/Hemlockglade/Coordination/Orders/CellPlacementPlan.cpp
+++ b/Hemlockglade/Coordination/Orders/CellPlacementPlan.cpp
@@ -159,7 +159,7 @@
   for (auto it = Waiting.begin(); it != Waiting.end();) {
     auto &demand = Demands[*it];
     bool isServed = it->second.Adapter.empty() || copyCount(*it) > 0;
-    bool timedOut = now - demand.LastWaitReportAt > Options.WantLasts;
+    bool timedOut = now - demand.LastWaitReportAt > Options.WaitReportTimeout;
     if (isServed || timedOut) {
       demand.WaitingSince.reset();
       it = Waiting.erase(it);
@@ -185,14 +185,14 @@
     if (key.second.Adapter.empty() || demand.WaitingSince)
       continue;
     double rateNow = rate(demand, now);
-    bool isCongested = now - demand.CongestedAt < Options.PressedFor;
+    bool isCongested = now - demand.CongestedAt < Options.CongestedFor;
     if (isCongested)
-      rateNow = std::max(rateNow, Options.RateForCopy);
-    if (rateNow < Options.RateForCopy)
+      rateNow = std::max(rateNow, Options.MinRateForCopy);
+    if (rateNow < Options.MinRateForCopy)
       continue;
     auto n = static_cast<double>(copyCount(key));
     auto perCopy =
-        isCongested ? Options.PressedRatePerCopy : Options.RatePerCopy;
+        isCongested ? Options.CongestedRatePerCopy : Options.MaxRatePerCopy;
     if (n == 0 || rateNow > perCopy * n)
       candidates.emplace_back(rateNow / (n + 1), key);
   }
@@ -202,7 +202,7 @@
   for (const auto &[value, key] : candidates) {
     if (remaining == 0 || !canLoad(now))
       return;
-    if (placeAdapter(key, value / Options.GainOverVictim, "demand", actions,
+    if (placeAdapter(key, value / Options.MinGainOverVictim, "demand", actions,
                      now))
       --remaining;
   }
@@ -218,7 +218,7 @@
   for (auto &[id, state] : Replicas) {
     if (state.Record->Service != key.first || !canOrder(state, now) ||
         state.PendingAdapter ||
-        loadingCount(state, now) >= Options.LoadsPerReplica)
+        loadingCount(state, now) >= Options.MaxLoadsPerReplica)
       continue;
     auto model = state.Held.find({key.second.Model, {}});
     auto held = state.Held.find(key.second);
@@ -226,7 +226,7 @@
       continue;
     bool isOlder = held != state.Held.end();
     if (isOlder &&
-        (held->second.Leaving || isCurrent(key.second, held->second.Version)))
+        (held->second.Evicting || isCurrent(key.second, held->second.Version)))
       continue;
     bool isFull = !isOlder && adapterCount(state) >= state.Engine->AdapterSlots;
     const auto *victim = isFull ? findVictim(state, value, now) : nullptr;
@@ -245,8 +245,8 @@
     constexpr double InPlaceCost = 2;
     cost += isOlder ? InPlaceCost : 0;
     constexpr std::uint64_t Steps = 1024;
-    cost -= isReload ? Options.QuickGain : 0;
-    cost += Options.SamePlaceGain *
+    cost -= isReload ? Options.ReloadGain : 0;
+    cost += Options.HashedReplicaGain *
             static_cast<double>(hashOf(id, key.second.Adapter) % Steps) / Steps;
     if (best && cost >= lowestCost)
       continue;
@@ -272,7 +272,7 @@
   const WeightsRef *best = nullptr;
   double lowestValue = below;
   for (const auto &[weights, held] : state.Held) {
-    if (weights.Adapter.empty() || held.Leaving || held.ReadyAt > now)
+    if (weights.Adapter.empty() || held.Evicting || held.ReadyAt > now)
       continue;
     DemandKey key{state.Record->Service, weights};
     auto it = Demands.find(key);
@@ -321,7 +321,7 @@
   action.Reason = reason;
   state.OrderPending = true;
   if (kind == OrderKind::Unload) {
-    state.Held[weights].Leaving = true;
+    state.Held[weights].Evicting = true;
     markChanged();
   }
   actions.push_back(std::move(action));
--- a/Hemlockglade/Coordination/Orders/LoadConcurrency.cpp
+++ b/Hemlockglade/Coordination/Orders/LoadConcurrency.cpp
@@ -6,7 +6,7 @@
 namespace hemlockglade {
 
 double LoadConcurrency::initial() const {
-  return std::max(Options.Least, Options.FirstPerRate * Rate);
+  return std::max(Options.Least, Options.InitialPerRate * Rate);
 }
 
 void LoadConcurrency::clampLimit() {
--- a/Hemlockglade/Coordination/Orders/LoadConcurrency.h
+++ b/Hemlockglade/Coordination/Orders/LoadConcurrency.h
@@ -17,7 +17,7 @@
   struct Settings {
     /// Initial limit per base model load a second that the store is declared to
     /// allow, and the minimum of the initial limit.
-    double FirstPerRate = 2.4;
+    double InitialPerRate = 2.4;
     double Least = 8;
     /// Bounds of the learnt limit, as shares of the initial limit.
     double MinShare = 0.8;
--- a/Hemlockglade/Coordination/Quota/QuotaClient.cpp
+++ b/Hemlockglade/Coordination/Quota/QuotaClient.cpp
@@ -314,7 +314,7 @@
 }
 
 std::vector<QuotaClient::Decision>
-QuotaClient::onServerLost(const std::string &cell, Instant now) {
+QuotaClient::onServerUnreachable(const std::string &cell, Instant now) {
   std::vector<Decision> out;
   for (auto &[name, state] : Workspaces)
     for (std::size_t at = 0; at < state.Servers.size(); ++at)
--- a/Hemlockglade/Coordination/Quota/QuotaClient.h
+++ b/Hemlockglade/Coordination/Quota/QuotaClient.h
@@ -82,7 +82,8 @@
                                  Instant now);
   /// Called when the owner of a cell can't be reached. Returns the decisions
   /// that follow.
-  std::vector<Decision> onServerLost(const std::string &cell, Instant now);
+  std::vector<Decision> onServerUnreachable(const std::string &cell,
+                                            Instant now);
   /// Handles timeouts and expired grants; must be called about every 50 ms.
   std::vector<Decision> tick(Instant now);
 
--- a/Hemlockglade/Coordination/Registry/Registry.h
+++ b/Hemlockglade/Coordination/Registry/Registry.h
@@ -17,7 +17,7 @@
   Unavailable,
   /// Changes since the position are no longer available: everything has to be
   /// read again.
-  HistoryGone,
+  HistoryLost,
 };
 
 /// What operators have declared, or the changes to it.
@@ -29,7 +29,7 @@
   std::uint64_t Position = 0;
   /// Whether anything changed, including entries that are neither plans nor
   /// versions.
-  bool Any = false;
+  bool HasChanges = false;
 };
 
 /// The replicas that are registered, or the changes to them.
--- a/Hemlockglade/Coordination/Registry/RegistryChangeLog.h
+++ b/Hemlockglade/Coordination/Registry/RegistryChangeLog.h
@@ -70,7 +70,7 @@
   bool onReplicas(const ReplicaChanges &changes);
   /// Drops operators' changes up to the position, which other nodes have
   /// received some other way; earlier positions can't be continued from here.
-  void restartOperators(std::uint64_t position) { Operators.reset(position); }
+  void resetOperators(std::uint64_t position) { Operators.reset(position); }
 
   const ChangeList<OperatorChanges> &operators() const { return Operators; }
   const ChangeList<ReplicaChanges> &replicas() const { return Replicas; }
--- a/Hemlockglade/Coordination/Registry/RegistryPollSettings.cpp
+++ b/Hemlockglade/Coordination/Registry/RegistryPollSettings.cpp
@@ -27,12 +27,12 @@
   auto bound = std::min(planBound, drainBound);
   RegistryPollSettings out;
   out.MaxOperatorWait = share(planBound, WaitShare, MaxWait);
-  out.ReplicaPeriod = share(drainBound, WaitShare, defaults.ReplicaPeriod);
+  out.ReplicaInterval = share(drainBound, WaitShare, defaults.ReplicaInterval);
   out.AnswerTimeout = share(bound, TimeoutShare, defaults.AnswerTimeout);
-  out.MaxRetryPause = share(bound, MaxPauseShare, defaults.MaxRetryPause);
+  out.MaxRetryDelay = share(bound, MaxPauseShare, defaults.MaxRetryDelay);
   out.MaxOperatorAge = scaled(planBound, AgeShare);
   out.MaxReplicaAge = scaled(drainBound, AgeShare);
-  out.RetryPause = std::min(defaults.RetryPause, out.MaxRetryPause);
+  out.RetryDelay = std::min(defaults.RetryDelay, out.MaxRetryDelay);
   return out;
 }
 
--- a/Hemlockglade/Coordination/Registry/RegistryPollSettings.h
+++ b/Hemlockglade/Coordination/Registry/RegistryPollSettings.h
@@ -16,7 +16,7 @@
   /// Maximum wait of one poll of operators' declarations.
   Span MaxOperatorWait = std::chrono::milliseconds(1000);
   /// Interval between polls of the replicas.
-  Span ReplicaPeriod = std::chrono::milliseconds(1000);
+  Span ReplicaInterval = std::chrono::milliseconds(1000);
   /// Time that the registry may take for an answer, in addition to a wait; a
   /// later answer is still accepted.
   Span AnswerTimeout = std::chrono::milliseconds(700);
@@ -29,8 +29,8 @@
   /// after each further failure, up to the maximum. Calls are charged also
   /// while the registry does not answer, but a node without data can't serve
   /// requests.
-  Span RetryPause = std::chrono::milliseconds(300);
-  Span MaxRetryPause = std::chrono::milliseconds(800);
+  Span RetryDelay = std::chrono::milliseconds(300);
+  Span MaxRetryDelay = std::chrono::milliseconds(800);
 
   /// Returns the settings that keep both bounds: on applying a confirmed plan,
   /// and on new work for a draining replica. Neither is polled less often than
--- a/Hemlockglade/Coordination/Retry/OutcomeOf.cpp
+++ b/Hemlockglade/Coordination/Retry/OutcomeOf.cpp
@@ -6,9 +6,9 @@
   if (!observation.MayHaveSent)
     return Outcome::NotRun;
   // A truncated refusal may be the beginning of any answer.
-  if (observation.RefusedBeforeRunning && observation.AnswerWhole)
+  if (observation.RefusedBeforeRunning && observation.AnswerComplete)
     return Outcome::NotRun;
-  if (observation.AnswerWhole && observation.PassedWhole)
+  if (observation.AnswerComplete && observation.AnswerDelivered)
     return Outcome::Complete;
   return Outcome::Unknown;
 }
--- a/Hemlockglade/Coordination/Retry/OutcomeOf.h
+++ b/Hemlockglade/Coordination/Retry/OutcomeOf.h
@@ -12,9 +12,9 @@
   /// it.
   bool RefusedBeforeRunning = false;
   /// The endpoint's answer arrived completely.
-  bool AnswerWhole = false;
+  bool AnswerComplete = false;
   /// The whole answer was sent to the caller.
-  bool PassedWhole = false;
+  bool AnswerDelivered = false;
 };
 
 /// Returns the outcome of an attempt: `NotRun` only if no byte reached the
--- a/Hemlockglade/Coordination/Retry/RetryPolicy.cpp
+++ b/Hemlockglade/Coordination/Retry/RetryPolicy.cpp
@@ -24,7 +24,7 @@
     RefilledAt = now;
   }
   if (Budget < 1)
-    return RetryVerdict::BudgetSpent;
+    return RetryVerdict::BudgetExhausted;
   Budget -= 1;
   return RetryVerdict::Retry;
 }
@@ -38,7 +38,7 @@
   if (attempt.How == Outcome::Unknown && !attempt.Repeatable)
     return RetryVerdict::NotRepeatable;
   if (attempt.Attempts >= Settings.MaxAttempts)
-    return RetryVerdict::AttemptsSpent;
+    return RetryVerdict::AttemptsExhausted;
   if (attempt.Deadline - now < Settings.MinAttemptTime)
     return RetryVerdict::DeadlineTooNear;
   return RetryVerdict::Retry;
--- a/Hemlockglade/Coordination/Retry/RetryPolicy.h
+++ b/Hemlockglade/Coordination/Retry/RetryPolicy.h
@@ -28,9 +28,9 @@
   /// The caller has part of an answer; that of another attempt may differ.
   AnswerBegun,
   DeadlineTooNear,
-  AttemptsSpent,
+  AttemptsExhausted,
   /// Retries have reached their share of the traffic.
-  BudgetSpent,
+  BudgetExhausted,
 };
 
 /// Limits of retries.
--- a/Hemlockglade/Coordination/Route/ExchangeSettings.h
+++ b/Hemlockglade/Coordination/Route/ExchangeSettings.h
@@ -14,9 +14,9 @@
   /// A stream's caller is expected to disconnect when it receives nothing for
   /// the maximum of these: a fixed time, and multiples of the target latency
   /// and of the route's longest pause between events.
-  Span MinCallerPatience = std::chrono::seconds(2);
-  double CallerPatienceInTargets = 4;
-  double CallerPatienceInGaps = 8;
+  Span MinCallerTimeout = std::chrono::seconds(2);
+  double CallerTimeoutInTargets = 4;
+  double CallerTimeoutInGaps = 8;
   /// Share of that time for which a stream's request is held.
   double StreamHoldShare = 0.65;
   /// A request that has waited this long for an engine requests another copy of
--- a/Hemlockglade/Coordination/Route/ReplicaView.cpp
+++ b/Hemlockglade/Coordination/Route/ReplicaView.cpp
@@ -185,8 +185,8 @@
         uncachedTokens(it->second, query), took);
 }
 
-std::uint32_t ReplicaView::tokensToRead(const std::string &replica,
-                                        const RouteQuery &query) const {
+std::uint32_t ReplicaView::uncachedPromptTokens(const std::string &replica,
+                                                const RouteQuery &query) const {
   auto it = Replicas.find(replica);
   if (it == Replicas.end())
     return query.PromptTokens;
@@ -247,7 +247,7 @@
   auto replacedSince = replacedAt(weights, version);
   if (!replacedSince)
     return std::nullopt;
-  return *replacedSince + Options.OldVersionEnd;
+  return *replacedSince + Options.OldVersionBeginLimit;
 }
 
 std::uint64_t ReplicaView::partKey(const RouteQuery &query,
@@ -342,7 +342,7 @@
       continue;
     if (query.Weights) {
       auto held = state.Held.find(*query.Weights);
-      if (held == state.Held.end() || held->second.Leaving ||
+      if (held == state.Held.end() || held->second.Evicting ||
           !isVersionUsable(*query.Weights, held->second.Version, now))
         continue;
       if (held->second.ReadyAt > now) {
@@ -398,7 +398,7 @@
   if (now >= query.OnTimeUntil)
     return -Options.LateIdle;
   constexpr std::uint32_t MaxRank = 4;
-  return Options.PaceBacklog -
+  return Options.MaxPrefillBacklog -
          Options.RankStep * static_cast<int>(std::min(MaxRank, query.Rank));
 }
 
@@ -488,7 +488,7 @@
   }
 }
 
-void ReplicaView::onReplaced(const std::string &replica) {
+void ReplicaView::onRestarted(const std::string &replica) {
   if (auto it = Replicas.find(replica); it != Replicas.end()) {
     it->second.Restarted = true;
     ++Revision;
@@ -548,7 +548,7 @@
   return out;
 }
 
-bool ReplicaView::anyPendingRemoval() const {
+bool ReplicaView::hasPendingRemoval() const {
   return std::any_of(Replicas.begin(), Replicas.end(), [](const auto &it) {
     return isUsable(it.second) && it.second.RemoveAt;
   });
@@ -564,7 +564,7 @@
 }
 
 std::map<std::pair<std::string, WeightsRef>, std::uint32_t>
-ReplicaView::ownUses(const std::string &domain) const {
+ReplicaView::ownRunningByWeights(const std::string &domain) const {
   std::map<std::pair<std::string, WeightsRef>, std::uint32_t> out;
   for (const auto &[id, state] : Replicas)
     if (state.Record->FailureDomain == domain)
--- a/Hemlockglade/Coordination/Route/ReplicaView.h
+++ b/Hemlockglade/Coordination/Route/ReplicaView.h
@@ -109,7 +109,7 @@
     /// Prefill backlog that may remain when the next request is sent: the
     /// engine then never idles, and its running streams, whose tokens are
     /// generated between prefill chunks, have no long pause.
-    Span PaceBacklog = std::chrono::milliseconds(25);
+    Span MaxPrefillBacklog = std::chrono::milliseconds(25);
     /// Reduction of that backlog for each rank of a request, so that the more
     /// urgent of the waiting requests are sent first.
     Span RankStep = std::chrono::milliseconds(6);
@@ -128,7 +128,7 @@
     /// From this long after its successor was declared, no request may begin on
     /// a version. Kept below the bound that operators are promised by the time
     /// that a node needs to receive the start of an answer.
-    Span OldVersionEnd = std::chrono::milliseconds(4200);
+    Span OldVersionBeginLimit = std::chrono::milliseconds(4200);
     /// Replicas whose entries disappear while the registry was unreachable are
     /// used for this long: the entries may have expired and be written again.
     Span ExpiryGrace = std::chrono::milliseconds(1700);
@@ -147,7 +147,7 @@
   };
 
   explicit ReplicaView(Settings settings)
-      : Options(std::move(settings)), Versions(Options.OldVersionEnd) {}
+      : Options(std::move(settings)), Versions(Options.OldVersionBeginLimit) {}
 
   void setPlan(std::shared_ptr<const RoutePlan> plan) {
     Plan = std::move(plan);
@@ -193,8 +193,8 @@
                     Span took, bool wasIdle);
   /// Returns the number of the query's prompt tokens that are not in the
   /// replica's prefix cache.
-  std::uint32_t tokensToRead(const std::string &replica,
-                             const RouteQuery &query) const;
+  std::uint32_t uncachedPromptTokens(const std::string &replica,
+                                     const RouteQuery &query) const;
   /// Returns the time by which a request that was sent for a version of weights
   /// has to begin, if that version has been replaced.
   std::optional<Instant> mustBeginBy(const WeightsRef &weights,
@@ -211,7 +211,7 @@
   void onWeightsRefused(const std::string &replica, const WeightsRef &weights,
                         bool missing, Instant now);
   /// Called when another incarnation has been found at the replica's address.
-  void onReplaced(const std::string &replica);
+  void onRestarted(const std::string &replica);
   /// Removes replicas whose entries are removed or expired, and returns those
   /// that count as removed since the last call.
   std::vector<ReplicaIncarnation> removeExpired(Instant now);
@@ -222,7 +222,7 @@
   std::vector<ReplicaPtr> inUse() const;
   /// Returns whether some replicas are still used although their entries have
   /// disappeared.
-  bool anyPendingRemoval() const;
+  bool hasPendingRemoval() const;
   /// Rises whenever the result of `replicasIn` may have changed.
   std::uint64_t revision() const { return Revision; }
   /// Returns the number of this node's running requests at each replica of a
@@ -232,7 +232,7 @@
   /// Returns the number of this node's running requests at each replica of a
   /// failure domain, by weights.
   std::map<std::pair<std::string, WeightsRef>, std::uint32_t>
-  ownUses(const std::string &domain) const;
+  ownRunningByWeights(const std::string &domain) const;
   std::size_t size() const { return Replicas.size(); }
   /// Returns the number of weights that are being loaded outside a failure
   /// domain: of base models if `models`, else of adapters.
--- a/Hemlockglade/Protocol/Message/RecoveryMessages.h
+++ b/Hemlockglade/Protocol/Message/RecoveryMessages.h
@@ -13,7 +13,7 @@
 } // namespace peer_path
 
 /// New owner to node, first message on `/recover`.
-struct RecoverAsk {
+struct RecoverRequest {
   std::string Cell;
   Epoch Fence = 0;
   MSGPACK_DEFINE(Cell, Fence)
@@ -37,7 +37,7 @@
 };
 
 /// Node to new owner: a request has ended.
-struct RecoverEnded {
+struct RequestEndedNotice {
   std::string Id;
   MSGPACK_DEFINE(Id)
 };
--- a/Hemlockglade/Protocol/Settings/DecisionSettings.cpp
+++ b/Hemlockglade/Protocol/Settings/DecisionSettings.cpp
@@ -16,29 +16,29 @@
   map.real("failure_cost", out.FailureCost, 0, MaxCost);
   map.real("overdue_cost", out.OverdueCost, 0, MaxCost);
   map.real("backlog_cost", out.BacklogCost, 0, MaxCost);
-  map.milliseconds("pace_backlog_ms", out.PaceBacklog, MillisecondRange);
+  map.milliseconds("pace_backlog_ms", out.MaxPrefillBacklog, MillisecondRange);
   map.milliseconds("rank_step_ms", out.RankStep, MillisecondRange);
   map.milliseconds("late_idle_ms", out.LateIdle, MillisecondRange);
 }
 
 void bindPlacement(SchemaReader &map, CellPlacement::Settings &out) {
-  map.real("loads_per_rate", out.Concurrency.FirstPerRate, 0, MaxRate);
+  map.real("loads_per_rate", out.Concurrency.InitialPerRate, 0, MaxRate);
   map.real("loads_least", out.Concurrency.Least, 1, MaxRate);
   map.real("loads_rise_per_second", out.Concurrency.RisePerSecond, 0, 1);
-  map.number("loads_per_replica", out.LoadsPerReplica, {1, 1000});
-  map.number("quick_memory", out.QuickMemory, {0, 100'000});
-  map.real("quick_gain", out.QuickGain, 0, MaxCost);
-  map.real("same_place_gain", out.SamePlaceGain, 0, MaxCost);
+  map.number("loads_per_replica", out.MaxLoadsPerReplica, {1, 1000});
+  map.number("quick_memory", out.MaxRecentlyDropped, {0, 100'000});
+  map.real("quick_gain", out.ReloadGain, 0, MaxCost);
+  map.real("same_place_gain", out.HashedReplicaGain, 0, MaxCost);
   map.seconds("demand_half_life_s", out.DemandHalfLife, 0.1, 3600);
   map.milliseconds("fast_half_life_ms", out.FastHalfLife, MillisecondRange);
-  map.real("fast_least", out.FastLeast, 0, MaxRate);
-  map.real("pressed_rate_per_copy", out.PressedRatePerCopy, 0, MaxRate);
-  map.real("rate_for_copy", out.RateForCopy, 0, MaxRate);
-  map.real("rate_per_copy", out.RatePerCopy, 0.001, MaxRate);
-  map.real("gain_over_victim", out.GainOverVictim, 0, MaxCost);
+  map.real("fast_least", out.MinFastWeight, 0, MaxRate);
+  map.real("pressed_rate_per_copy", out.CongestedRatePerCopy, 0, MaxRate);
+  map.real("rate_for_copy", out.MinRateForCopy, 0, MaxRate);
+  map.real("rate_per_copy", out.MaxRatePerCopy, 0.001, MaxRate);
+  map.real("gain_over_victim", out.MinGainOverVictim, 0, MaxCost);
   map.milliseconds("recent_use_ms", out.RecentUse, MillisecondRange);
-  map.milliseconds("pressed_for_ms", out.PressedFor, MillisecondRange);
-  map.milliseconds("want_lasts_ms", out.WantLasts, MillisecondRange);
+  map.milliseconds("pressed_for_ms", out.CongestedFor, MillisecondRange);
+  map.milliseconds("want_lasts_ms", out.WaitReportTimeout, MillisecondRange);
   map.real("wait_weight", out.WaitWeight, 0, MaxRate);
 }
 
--- a/Programs/hemlockgladed/CellRunner.cpp
+++ b/Programs/hemlockgladed/CellRunner.cpp
@@ -210,7 +210,7 @@
       std::lock_guard lock(Mutex);
       Replicas[replica].Silent = true;
     }
-    return lockAndHandle(ReplicaSilent{replica});
+    return lockAndHandle(ReplicaReportMissed{replica});
   }
   ReplicaReport event;
   event.Replica = replica;
--- a/Programs/hemlockgladed/ConfigLink.cpp
+++ b/Programs/hemlockgladed/ConfigLink.cpp
@@ -31,12 +31,12 @@
                   std::function<void(std::optional<std::string>)> done) {
         platform.getObject(name, std::move(done));
       };
-  hooks.DropObject = [&platform](const std::string &name) {
+  hooks.RemoveObject = [&platform](const std::string &name) {
     platform.dropObject(name);
   };
   hooks.AnyPeer = Hooks.AnyPeer;
-  hooks.AskPeer = [this](const std::string &address, const ConfigFetch &fetch,
-                         OnAnswer done) {
+  hooks.FetchFromPeer = [this](const std::string &address,
+                               const ConfigFetch &fetch, OnAnswer done) {
     if (!Net)
       return done(std::nullopt);
     requestPeer<ConfigAnswer>(*Net, address, peer_path::Config, fetch,
@@ -58,8 +58,8 @@
 
 void ConfigLink::round() { Replicator->round(); }
 
-void ConfigLink::learn(Revision number, const std::string &address) {
-  Replicator->learn(number, address);
+void ConfigLink::onPeerRevision(Revision number, const std::string &address) {
+  Replicator->onPeerRevision(number, address);
 }
 
 void ConfigLink::propose(ConfigProposal proposal, ConfigCallback done) {
--- a/Programs/hemlockgladed/ConfigLink.h
+++ b/Programs/hemlockgladed/ConfigLink.h
@@ -30,7 +30,7 @@
   /// To be called about once a second.
   void round();
   /// Called when the node at that peer address has this revision in force.
-  void learn(Revision number, const std::string &address);
+  void onPeerRevision(Revision number, const std::string &address);
   /// Commits changes through the table; see ConfigReplicator.
   void propose(ConfigProposal proposal, ConfigCallback done);
   /// Serves another node's stream.
--- a/Programs/hemlockgladed/Exchange.cpp
+++ b/Programs/hemlockgladed/Exchange.cpp
@@ -296,8 +296,9 @@
   AttemptObservation seen;
   seen.MayHaveSent = result.MayHaveSent;
   seen.RefusedBeforeRunning = result.Whole && refusedBeforeRunning();
-  seen.AnswerWhole = result.Whole && (seen.RefusedBeforeRunning || isWhole());
-  seen.PassedWhole = seen.AnswerWhole;
+  seen.AnswerComplete =
+      result.Whole && (seen.RefusedBeforeRunning || isWhole());
+  seen.AnswerDelivered = seen.AnswerComplete;
   return outcomeOf(seen);
 }
 
--- a/Programs/hemlockgladed/Gateway/CellMember.cpp
+++ b/Programs/hemlockgladed/Gateway/CellMember.cpp
@@ -146,7 +146,7 @@
 
 std::vector<UseNotice> CellMember::allUses() const {
   std::vector<UseNotice> out;
-  for (const auto &[key, n] : View.ownUses(Options.Cell))
+  for (const auto &[key, n] : View.ownRunningByWeights(Options.Cell))
     out.push_back({key.first, key.second.text(), static_cast<std::int32_t>(n)});
   return out;
 }
--- a/Programs/hemlockgladed/Gateway/CellMemberOwner.cpp
+++ b/Programs/hemlockgladed/Gateway/CellMemberOwner.cpp
@@ -354,7 +354,7 @@
     for (const auto &[weights, at] : change.Held)
       notice.Held.push_back({weights.text(), at.Version,
                              std::max(Span(0), at.ReadyAt - now).count(),
-                             at.Leaving});
+                             at.Evicting});
     for (const auto &weights : change.Dropped)
       notice.Dropped.push_back(weights.text());
     out.push_back(std::move(notice));
--- a/Programs/hemlockgladed/Gateway/CrashCoordinator.cpp
+++ b/Programs/hemlockgladed/Gateway/CrashCoordinator.cpp
@@ -32,9 +32,9 @@
     probe(replica, false);
 }
 
-void CrashCoordinator::onGivenUp(const ReplicaRecord &replica,
-                                 const RequestKey &key, Instant sentAt,
-                                 std::optional<Instant> beganAt) {
+void CrashCoordinator::onAbandoned(const ReplicaRecord &replica,
+                                   const RequestKey &key, Instant sentAt,
+                                   std::optional<Instant> beganAt) {
   recordEnds(replica.Incarnation.text(),
              Detector.onBroken(brokenAttempt(replica, key, sentAt, beganAt)));
   if (Detector.needsProbe(replica.Incarnation))
--- a/Programs/hemlockgladed/Gateway/CrashCoordinator.h
+++ b/Programs/hemlockgladed/Gateway/CrashCoordinator.h
@@ -32,8 +32,8 @@
   void onBroken(const ReplicaRecord &replica, const RequestKey &key,
                 Instant sentAt, std::optional<Instant> beganAt);
   /// Called when an attempt was given up while the replica may still run it.
-  void onGivenUp(const ReplicaRecord &replica, const RequestKey &key,
-                 Instant sentAt, std::optional<Instant> beganAt);
+  void onAbandoned(const ReplicaRecord &replica, const RequestKey &key,
+                   Instant sentAt, std::optional<Instant> beganAt);
   /// Called when an incarnation of a replica has ended, as is known from the
   /// registry or from another incarnation that answers at its address.
   void onEnded(const ReplicaIncarnation &incarnation);
--- a/Programs/hemlockgladed/Gateway/Gateway.cpp
+++ b/Programs/hemlockgladed/Gateway/Gateway.cpp
@@ -89,7 +89,7 @@
         constexpr double GraceShare = 0.66;
         out.OldVersionGrace = scaled(Settings.VersionBound, GraceShare);
         constexpr double EndShare = 0.84;
-        out.OldVersionEnd = scaled(Settings.VersionBound, EndShare);
+        out.OldVersionBeginLimit = scaled(Settings.VersionBound, EndShare);
         constexpr double LapseShare = 0.85;
         out.ExpiryGrace = Span(static_cast<std::int64_t>(
             LapseShare * static_cast<double>(Settings.DrainBound.count())));
@@ -159,7 +159,7 @@
     onReplicas(changes, unreachable);
   };
   hooks.InformsPeers = [this] { return ownsCells(); };
-  hooks.StandsBy = [this] { return !Active; };
+  hooks.IsStandby = [this] { return !Active; };
   hooks.OnUpdate = [this] {
     for (auto &[name, cell] : Cells)
       cell->onRegistryUpdate();
@@ -390,7 +390,7 @@
     WakePosted = false;
     std::vector<std::shared_ptr<GatewayExchange>> waiting;
     for (const auto &it : Exchanges)
-      if (it->waitsForChange())
+      if (it->waitsForReplica())
         waiting.push_back(it);
     // The most urgent first, then the earliest arrival.
     std::sort(waiting.begin(), waiting.end(), [](const auto &a, const auto &b) {
--- a/Programs/hemlockgladed/Gateway/GatewayCrashes.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayCrashes.cpp
@@ -24,12 +24,13 @@
     if (!View.isDraining(replica.Incarnation.text()))
       Crashes.onBroken(replica, key, sentAt, beganAt);
   };
-  hooks.OnGivenUp = [this](const ReplicaRecord &replica, const RequestKey &key,
-                           Instant sentAt, std::optional<Instant> beganAt) {
+  hooks.OnAbandoned = [this](const ReplicaRecord &replica,
+                             const RequestKey &key, Instant sentAt,
+                             std::optional<Instant> beganAt) {
     if (!View.isDraining(replica.Incarnation.text()))
-      Crashes.onGivenUp(replica, key, sentAt, beganAt);
+      Crashes.onAbandoned(replica, key, sentAt, beganAt);
   };
-  hooks.OnReplaced = [this](const ReplicaIncarnation &incarnation) {
+  hooks.OnRestarted = [this](const ReplicaIncarnation &incarnation) {
     Crashes.onEnded(incarnation);
   };
   hooks.OnServed = [this](const RequestKey &key) { Crashes.onServed(key); };
--- a/Programs/hemlockgladed/Gateway/GatewayExchange.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.cpp
@@ -60,9 +60,9 @@
   HoldUntil = Request.ArrivedAt + scaled(allowed, Settings.MaxHoldShare);
   if (MatchedRoute.Kind == RouteKind::Stream) {
     auto callerPatience = std::max(
-        {Settings.MinCallerPatience,
-         scaled(MatchedRoute.TargetLatency, Settings.CallerPatienceInTargets),
-         scaled(MatchedRoute.TargetGap, Settings.CallerPatienceInGaps)});
+        {Settings.MinCallerTimeout,
+         scaled(MatchedRoute.TargetLatency, Settings.CallerTimeoutInTargets),
+         scaled(MatchedRoute.TargetGap, Settings.CallerTimeoutInGaps)});
     StreamHoldTime = scaled(callerPatience, Settings.StreamHoldShare);
     HoldUntil = std::min(HoldUntil, Request.ArrivedAt + StreamHoldTime);
   }
@@ -296,10 +296,10 @@
   if (choice.ReplacedAt)
     ReplacedFor = now - *choice.ReplacedAt;
   if (usesEngine())
-    Shared.OnSent(
-        *choice.Replica,
-        Shared.View.tokensToRead(choice.Replica->Incarnation.text(), Query),
-        *Query.Weights);
+    Shared.OnSent(*choice.Replica,
+                  Shared.View.uncachedPromptTokens(
+                      choice.Replica->Incarnation.text(), Query),
+                  *Query.Weights);
   if (CallerWorkspace && CallerWorkspace->Limit &&
       !std::exchange(QuotaReserved, true))
     Shared.Limits.Charge(*CallerWorkspace, quotaUnits());
@@ -511,8 +511,8 @@
   else if (Shared.PlainQueue)
     Shared.PlainQueue->wakeNext(Query.Service, TimerService::now());
   if (attempt->Connection->calling())
-    Shared.Crashes.OnGivenUp(*attempt->Replica, Key, attempt->SentAt,
-                             attempt->FirstEventAt);
+    Shared.Crashes.OnAbandoned(*attempt->Replica, Key, attempt->SentAt,
+                               attempt->FirstEventAt);
   // A connection in the middle of an answer is reset, which also makes the
   // replica stop the run.
   if (attempt->Connection->reusable())
--- a/Programs/hemlockgladed/Gateway/GatewayExchange.h
+++ b/Programs/hemlockgladed/Gateway/GatewayExchange.h
@@ -36,9 +36,9 @@
   /// `beganAt` as for `OnBroken`.
   std::function<void(const ReplicaRecord &replica, const RequestKey &key,
                      Instant sentAt, std::optional<Instant> beganAt)>
-      OnGivenUp;
+      OnAbandoned;
   /// Called when another incarnation answers at the replica's address.
-  std::function<void(const ReplicaIncarnation &incarnation)> OnReplaced;
+  std::function<void(const ReplicaIncarnation &incarnation)> OnRestarted;
   /// Called when a replica has run the request to its end with success.
   std::function<void(const RequestKey &key)> OnServed;
 };
@@ -133,7 +133,7 @@
   bool waiting() const { return Waiting; }
   /// Whether the request waits for weights or replicas, rather than for free
   /// capacity of replicas that it could be sent to.
-  bool waitsForChange() const { return Waiting && !WaitsForCapacity; }
+  bool waitsForReplica() const { return Waiting && !WaitsForCapacity; }
   /// Priority of the workspace, or else of the route; 0 is the most urgent.
   std::uint32_t rank() const { return Query.Rank; }
   const RequestKey &key() const { return Key; }
@@ -151,7 +151,7 @@
   /// Time from the arrival to the first byte of an answer from a replica.
   std::optional<Span> firstByte() const { return TimeToFirstByte; }
   /// Bytes of the bodies of the request and of the answers to all attempts.
-  std::uint64_t bytesMoved() const { return Request.Body.size() + AnswerBytes; }
+  std::uint64_t bodyBytes() const { return Request.Body.size() + AnswerBytes; }
   /// Time from the arrival to the first attempt, or until now if there was
   /// none.
   Span heldFor() const;
@@ -160,7 +160,7 @@
   std::optional<Span> replacedFor() const { return ReplacedFor; }
   /// Whether an attempt was ended because it would have begun to run on weights
   /// that had been replaced too long ago.
-  bool endedUnbegun() const { return EndedBeforeStart; }
+  bool endedBeforeStart() const { return EndedBeforeStart; }
 
 private:
   /// State of the attempt that is under way.
--- a/Programs/hemlockgladed/Gateway/GatewayExchangeAnswer.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayExchangeAnswer.cpp
@@ -120,7 +120,7 @@
   bool success = isSuccess(status);
   if (!success && !Current->Labels.Sealed)
     return onAttemptFailed("failure without signature");
-  if (!success && promisesNotRun(status))
+  if (!success && impliesNotRun(status))
     return onAttemptFailed("the replica's status would promise too much");
   // A replica that fails more often than the others of its service is itself
   // at fault, so another one may answer the same request with success.
@@ -213,8 +213,8 @@
   // incarnation of the replica; they differ in the incarnation that answers.
   if (restarted) {
     endAttempt(AttemptVerdict::NoValidAnswer);
-    Shared.View.onReplaced(replica.Incarnation.text());
-    Shared.Crashes.OnReplaced(replica.Incarnation);
+    Shared.View.onRestarted(replica.Incarnation.text());
+    Shared.Crashes.OnRestarted(replica.Incarnation);
   } else if (usesEngine()) {
     endAttempt(AttemptVerdict::Success);
     Shared.View.onWeightsRefused(replica.Incarnation.text(), *Query.Weights,
--- a/Programs/hemlockgladed/Gateway/GatewayMetrics.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayMetrics.cpp
@@ -104,9 +104,9 @@
   if (auto replaced = exchange.replacedFor())
     Metrics.histogram(ReplacedFamily, {{"service", service}})
         .record(inSeconds(*replaced));
-  if (exchange.endedUnbegun())
+  if (exchange.endedBeforeStart())
     Metrics.counter(NotBegunFamily, {{"service", service}}).add(1);
-  Meter.onBytes(exchange.bytesMoved(), TimerService::now());
+  Meter.onBytes(exchange.bodyBytes(), TimerService::now());
   auto self =
       std::const_pointer_cast<GatewayExchange>(exchange.shared_from_this());
   // The exchange's own functions may still be running; it is destroyed after
--- a/Programs/hemlockgladed/Gateway/GatewayPeers.cpp
+++ b/Programs/hemlockgladed/Gateway/GatewayPeers.cpp
@@ -173,7 +173,7 @@
   out.ReplicaAgeUs = Watcher->replicasAge().count();
   // A replica whose entry has expired is used for a while yet, and its removal
   // is sent only to nodes with a lower position.
-  if (View.anyPendingRemoval())
+  if (View.hasPendingRemoval())
     out.KnownPositions.Replica = 0;
   return out;
 }
@@ -258,11 +258,11 @@
   onOperator(declared);
   bool isComplete = reply.PlanText.empty() || declared.Plan;
   if (reply.OperatorAgeUs > 0 && isComplete)
-    Watcher->onDeclared(Span(reply.OperatorAgeUs), requestedAt);
+    Watcher->onPeerDeclarations(Span(reply.OperatorAgeUs), requestedAt);
   if (!HasReplicas && !replicas.Present.empty())
     onReplicas(replicas, true);
-  Watcher->onBriefed(positions, Span(reply.OperatorAgeUs),
-                     Span(reply.ReplicaAgeUs), requestedAt);
+  Watcher->onBriefing(positions, Span(reply.OperatorAgeUs),
+                      Span(reply.ReplicaAgeUs), requestedAt);
   for (const auto &[name, text] : reply.Leases) {
     auto cell = Cells.find(name);
     auto row = CellLeaseRow::parse(text);
--- a/Programs/hemlockgladed/Gateway/GatewayStatus.h
+++ b/Programs/hemlockgladed/Gateway/GatewayStatus.h
@@ -25,7 +25,7 @@
 }
 
 /// Whether a caller may conclude from the status that its request has not run.
-inline bool promisesNotRun(std::uint16_t status) {
+inline bool impliesNotRun(std::uint16_t status) {
   return status == RequestTimeout || status == OtherIncarnation ||
          status == TooMany || status == Unavailable;
 }
--- a/Programs/hemlockgladed/Gateway/QuotaService.cpp
+++ b/Programs/hemlockgladed/Gateway/QuotaService.cpp
@@ -80,7 +80,7 @@
   closeStream(owner);
   if (openStream(message.Cell, owner, std::move(text)))
     return;
-  deliver(Client.onServerLost(message.Cell, now));
+  deliver(Client.onServerUnreachable(message.Cell, now));
   flushSoon();
 }
 
@@ -102,7 +102,7 @@
     if (!current.Stream || self->lock() != current.Stream)
       return;
     current.Stream = nullptr;
-    deliver(Client.onServerLost(cell, TimerService::now()));
+    deliver(Client.onServerUnreachable(cell, TimerService::now()));
     flushSoon();
   };
   owner.Stream = Net->open(owner.Address, std::string(peer_path::Quota) + cell,
--- a/Programs/hemlockgladed/Gateway/RegistryWatcher.cpp
+++ b/Programs/hemlockgladed/Gateway/RegistryWatcher.cpp
@@ -6,8 +6,8 @@
                                  Settings settings, Hooks hooks, EventLog &log)
     : Timers(timers), Registry(std::move(registry)), Options(settings),
       Callbacks(std::move(hooks)), Log(log),
-      OperatorRetryDelay(Options.Poll.RetryPause),
-      ReplicaRetryDelay(Options.Poll.RetryPause) {}
+      OperatorRetryDelay(Options.Poll.RetryDelay),
+      ReplicaRetryDelay(Options.Poll.RetryDelay) {}
 
 void RegistryWatcher::start(Span initialDelay) {
   scheduleOperatorPoll(initialDelay);
@@ -98,18 +98,19 @@
     const tl::expected<OperatorChanges, RegistryError> &result) {
   if (result) {
     recordResult(OperatorPoll, true);
-    OperatorRetryDelay = Options.Poll.RetryPause;
+    OperatorRetryDelay = Options.Poll.RetryDelay;
     applyOperator(*result, "registry");
     // The answer is surely as new as the request, and one without changes as
     // new as the end of its wait. Polls of replicas don't confirm declarations.
-    bool changed = result->Any || result->Plan || !result->Versions.empty();
+    bool changed =
+        result->HasChanges || result->Plan || !result->Versions.empty();
     auto currentAt = OperatorPolledAt + (changed ? Span(0) : OperatorWait);
     currentAt = std::min(currentAt, TimerService::now());
     OperatorCurrentAt = std::max(OperatorCurrentAt, currentAt);
     OperatorConfirmedAt = std::max(OperatorConfirmedAt, currentAt);
     return pollOperator();
   }
-  if (result.error() == RegistryError::HistoryGone) {
+  if (result.error() == RegistryError::HistoryLost) {
     OperatorPosition.reset();
     return pollOperator();
   }
@@ -119,7 +120,7 @@
                                   OperatorRetryDelay));
 }
 
-void RegistryWatcher::onDeclared(Span age, Instant askedAt) {
+void RegistryWatcher::onPeerDeclarations(Span age, Instant askedAt) {
   DeclaredCurrentAt = std::max(DeclaredCurrentAt, askedAt - age);
 }
 
@@ -184,7 +185,7 @@
     return Span(0);
   auto now = delay;
   if (hasState)
-    delay = std::min(Options.Poll.MaxRetryPause, delay * 2);
+    delay = std::min(Options.Poll.MaxRetryDelay, delay * 2);
   return isStandby() ? std::max(now, Options.MinStandbyRetryDelay) : now;
 }
 
@@ -203,7 +204,7 @@
 
 void RegistryWatcher::pollReplicas() {
   auto left = ReplicaPosition ? pollDelay(ReplicasCurrentAt, ReplicaUpdateAt,
-                                          Options.Poll.ReplicaPeriod,
+                                          Options.Poll.ReplicaInterval,
                                           Options.Poll.MaxReplicaAge)
                               : Span(0);
   if (left > Span(0))
@@ -220,16 +221,16 @@
     const tl::expected<ReplicaChanges, RegistryError> &result) {
   if (result) {
     recordResult(ReplicaPoll, true);
-    ReplicaRetryDelay = Options.Poll.RetryPause;
+    ReplicaRetryDelay = Options.Poll.RetryDelay;
     // An answer that is older than the updates received meanwhile would bring
     // back replicas that were removed.
     if (result->Position >= ReplicaPosition.value_or(0)) {
       ReplicasCurrentAt = std::max(ReplicasCurrentAt, ReplicasPolledAt);
       applyReplicas(*result, wasUnreachableRecently());
     }
-    return scheduleReplicaPoll(Options.Poll.ReplicaPeriod);
+    return scheduleReplicaPoll(Options.Poll.ReplicaInterval);
   }
-  if (result.error() == RegistryError::HistoryGone) {
+  if (result.error() == RegistryError::HistoryLost) {
     ReplicaPosition.reset();
     return pollReplicas();
   }
@@ -283,13 +284,13 @@
   return out;
 }
 
-void RegistryWatcher::onBriefed(const RegistryPositions &peerPositions,
-                                Span operatorAge, Span replicasAge,
-                                Instant askedAt) {
+void RegistryWatcher::onBriefing(const RegistryPositions &peerPositions,
+                                 Span operatorAge, Span replicasAge,
+                                 Instant askedAt) {
   auto now = TimerService::now();
   if (!OperatorPosition && peerPositions.Operator) {
     OperatorPosition = peerPositions.Operator;
-    ChangeLog.restartOperators(peerPositions.Operator);
+    ChangeLog.resetOperators(peerPositions.Operator);
     OperatorUpdateAt = now;
     OperatorCurrentAt = now - operatorAge;
     OperatorConfirmedAt = std::max(OperatorConfirmedAt, askedAt - operatorAge);
--- a/Programs/hemlockgladed/Gateway/RegistryWatcher.h
+++ b/Programs/hemlockgladed/Gateway/RegistryWatcher.h
@@ -50,7 +50,7 @@
     std::function<bool()> InformsPeers;
     /// Returns whether this node is on standby, so that it can leave polling to
     /// others for longer; unset means never.
-    std::function<bool()> StandsBy;
+    std::function<bool()> IsStandby;
     /// Called when there are new changes to send to other nodes.
     std::function<void()> OnUpdate;
   };
@@ -66,8 +66,8 @@
   /// Called when another node has sent its whole state, which is complete up
   /// to these positions and was requested at `askedAt`. Updates apply from
   /// there on. A kind of which this node has state already is not changed.
-  void onBriefed(const RegistryPositions &peerPositions, Span operatorAge,
-                 Span replicasAge, Instant askedAt);
+  void onBriefing(const RegistryPositions &peerPositions, Span operatorAge,
+                  Span replicasAge, Instant askedAt);
   /// Polls the declarations at once. `done` is called with true when everything
   /// that was declared before this call is known, or with false if the poll
   /// failed or timed out.
@@ -86,7 +86,7 @@
   Span operatorAge() const { return TimerService::now() - OperatorCurrentAt; }
   /// Called when another node has sent all declarations that it has, which were
   /// current `age` before `askedAt`, when they were requested.
-  void onDeclared(Span age, Instant askedAt);
+  void onPeerDeclarations(Span age, Instant askedAt);
   /// Age of the declarations by the registry or by what other nodes sent on
   /// request.
   Span declaredAge() const {
@@ -146,7 +146,9 @@
   /// Returns the delay of the next poll after a failed one, and increases
   /// `delay` for the one after it.
   Span retryDelay(bool firstFailure, bool hasState, Span &delay) const;
-  bool isStandby() const { return Callbacks.StandsBy && Callbacks.StandsBy(); }
+  bool isStandby() const {
+    return Callbacks.IsStandby && Callbacks.IsStandby();
+  }
 
   TimerService &Timers;
   RegistryHooks Registry;
--- a/Programs/hemlockgladed/Node.cpp
+++ b/Programs/hemlockgladed/Node.cpp
@@ -117,7 +117,7 @@
   };
   hooks.InForce = [this] { return Config.inForce()->number(); };
   hooks.OnRevision = [this](Revision number, const std::string &address) {
-    Config.learn(number, address);
+    Config.onPeerRevision(number, address);
   };
   // A change of owner is read from the table at once.
   hooks.OnCell = [this](const CellOwner &cell) {
--- a/Programs/hemlockgladed/RecoveryLinks.cpp
+++ b/Programs/hemlockgladed/RecoveryLinks.cpp
@@ -53,7 +53,7 @@
     self->onClosed(node, cell, fence);
   };
   auto stream = Net->open(address, std::string(peer_path::Recover),
-                          pack(RecoverAsk{cell, fence}), std::move(hooks));
+                          pack(RecoverRequest{cell, fence}), std::move(hooks));
   std::lock_guard lock(Mutex);
   if (isCurrent(key, fence))
     Queries[key].Stream = std::move(stream);
@@ -69,7 +69,7 @@
       onAnswer(node, cell, fence, toAnswer(*reply, cell));
     return;
   }
-  if (auto ended = unpack<RecoverEnded>(message))
+  if (auto ended = unpack<RequestEndedNotice>(message))
     Recoveries->onFinished(node, cell, ended->Id);
 }
 
@@ -135,7 +135,7 @@
   stream->OnMessage = [self = shared_from_this(),
                        weak = std::weak_ptr(stream)](std::string_view message) {
     auto open = weak.lock();
-    auto request = unpack<RecoverAsk>(message);
+    auto request = unpack<RecoverRequest>(message);
     if (!open || !request)
       return;
     // Both under the mutex of onRequestEnded(), so that the ends of requests
@@ -162,7 +162,7 @@
       it = OwnerStreams.erase(it);
       continue;
     }
-    stream->send(pack(RecoverEnded{id}));
+    stream->send(pack(RequestEndedNotice{id}));
     ++it;
   }
 }
--- a/UnitTests/Coordination/Config/ConfigWorld.h
+++ b/UnitTests/Coordination/Config/ConfigWorld.h
@@ -98,8 +98,8 @@
         node.Replicator->round();
         auto peer = anyPeer(name);
         if (peer && !node.Isolated && !Nodes[*peer].Isolated)
-          node.Replicator->learn(Nodes[*peer].Replicator->current()->number(),
-                                 *peer);
+          node.Replicator->onPeerRevision(
+              Nodes[*peer].Replicator->current()->number(), *peer);
       }
       Time.advance(std::chrono::seconds(1));
     }
@@ -227,10 +227,12 @@
       auto data = lost ? std::nullopt : std::optional(it->second);
       Time.after(std::chrono::milliseconds(2), [done, data] { done(data); });
     };
-    hooks.DropObject = [this](const std::string &key) { Objects.erase(key); };
+    hooks.RemoveObject = [this](const std::string &key) { Objects.erase(key); };
     hooks.AnyPeer = [this, name] { return anyPeer(name); };
-    hooks.AskPeer = [this, name](const std::string &peer, ConfigFetch fetch,
-                                 auto done) { ask(name, peer, fetch, done); };
+    hooks.FetchFromPeer = [this, name](const std::string &peer,
+                                       ConfigFetch fetch, auto done) {
+      ask(name, peer, fetch, done);
+    };
     hooks.OnInForce = [this, name, start = Starts](auto view) {
       if (Nodes[name].StartNumber == start)
         onInForce(name, *view);
--- a/UnitTests/Coordination/Decision/CoreSimulation.h
+++ b/UnitTests/Coordination/Decision/CoreSimulation.h
@@ -252,7 +252,7 @@
     if (choice < 86)
       return changeLease();
     if (choice < 88)
-      return send(ReplicaSilent{replica});
+      return send(ReplicaReportMissed{replica});
     if (choice < 91)
       return send(ReplicaDraining{replica, random(3) == 0});
     if (choice < 93)
--- a/UnitTests/Coordination/Decision/OrderPlannerTest.cpp
+++ b/UnitTests/Coordination/Decision/OrderPlannerTest.cpp
@@ -298,7 +298,7 @@
   core.loadByOperator(7, 1);
   SECTION("the replica is down") {
     for (int it = 0; it < 4; ++it)
-      core.send(ReplicaSilent{2});
+      core.send(ReplicaReportMissed{2});
   }
   SECTION("the replica is draining") { core.send(ReplicaDraining{2}); }
   CHECK(core.arrive(1, 8) == "evict 7@1");
--- a/UnitTests/Coordination/Decision/ReplicaChooserTest.cpp
+++ b/UnitTests/Coordination/Decision/ReplicaChooserTest.cpp
@@ -120,7 +120,7 @@
   addTwoReplicas(core);
   std::string expected = "@1";
   SECTION("drained") { core.send(ReplicaDraining{2}); }
-  SECTION("one report missed") { core.send(ReplicaSilent{2}); }
+  SECTION("one report missed") { core.send(ReplicaReportMissed{2}); }
   SECTION("removed") { core.send(ReplicaRemoved{2}); }
   SECTION("restarted empty") {
     core.report(2, 1, {{7, 0}});
@@ -128,8 +128,8 @@
     core.report(2, 2, {});
   }
   SECTION("one report missed on all replicas: they still serve") {
-    core.send(ReplicaSilent{1});
-    core.send(ReplicaSilent{2});
+    core.send(ReplicaReportMissed{1});
+    core.send(ReplicaReportMissed{2});
     expected = "@2";
   }
   SECTION("a report older than the last one is ignored") {
--- a/UnitTests/Coordination/Orders/CellLeaseExplorerTest.cpp
+++ b/UnitTests/Coordination/Orders/CellLeaseExplorerTest.cpp
@@ -1,7 +1,7 @@
 // Runs every sequence of a few events, up to a depth, on two hosts and a table
 // that can be rolled back.
 
-#include "UnitTests/Coordination/Orders/CellLeaseDrill.h"
+#include "UnitTests/Coordination/Orders/CellLeaseRollback.h"
 
 #include <catch2/catch.hpp>
 
--- a/UnitTests/Coordination/Orders/CellLeaseDrillTest.cpp
+++ b/UnitTests/Coordination/Orders/CellLeaseRollbackTest.cpp
@@ -3,7 +3,7 @@
 // node that holds a lease then must not order at the same time as another, nor
 // under a fencing number that another node has had.
 
-#include "UnitTests/Coordination/Orders/CellLeaseDrill.h"
+#include "UnitTests/Coordination/Orders/CellLeaseRollback.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
--- a/UnitTests/Coordination/Retry/RetryTest.cpp
+++ b/UnitTests/Coordination/Retry/RetryTest.cpp
@@ -10,12 +10,13 @@
     AttemptObservation observation{(it & 1) != 0, (it & 2) != 0, (it & 4) != 0,
                                    (it & 8) != 0};
     auto outcome = outcomeOf(observation);
-    bool refused = observation.RefusedBeforeRunning && observation.AnswerWhole;
+    bool refused =
+        observation.RefusedBeforeRunning && observation.AnswerComplete;
     REQUIRE((outcome == Outcome::NotRun) ==
             (!observation.MayHaveSent || refused));
     REQUIRE((outcome == Outcome::Complete) ==
-            (observation.MayHaveSent && !refused && observation.AnswerWhole &&
-             observation.PassedWhole));
+            (observation.MayHaveSent && !refused &&
+             observation.AnswerComplete && observation.AnswerDelivered));
   }
   // One attempt that may have run determines the outcome of the request.
   for (auto earlier : {Outcome::NotRun, Outcome::Unknown}) {
@@ -45,7 +46,7 @@
             it.How = Outcome::NotRun;
           }) == Retry);
   REQUIRE(with([](auto &it) { it.FirstBytePassed = true; }) == AnswerBegun);
-  REQUIRE(with([](auto &it) { it.Attempts = 3; }) == AttemptsSpent);
+  REQUIRE(with([](auto &it) { it.Attempts = 3; }) == AttemptsExhausted);
   REQUIRE(with([&](auto &it) { it.Deadline = now + 49ms; }) == DeadlineTooNear);
   REQUIRE(with([&](auto &it) { it.Deadline = now - 1s; }) == DeadlineTooNear);
 }
--- a/UnitTests/Coordination/Route/RegistryChangeLogTest.cpp
+++ b/UnitTests/Coordination/Route/RegistryChangeLogTest.cpp
@@ -80,7 +80,7 @@
           "[registry]") {
   RegistryChangeLog log({});
   log.onOperator({nullptr, {}, 5});
-  log.restartOperators(9);
+  log.resetOperators(9);
   CHECK_FALSE(log.operators().since(5));
   CHECK(log.operators().since(9));
 }
--- a/UnitTests/Coordination/Route/RegistryPollSettingsTest.cpp
+++ b/UnitTests/Coordination/Route/RegistryPollSettingsTest.cpp
@@ -18,9 +18,9 @@
   auto it = RegistryPollSettings::forBounds(plan, drain);
   auto shorter = std::min<Span>(plan, drain);
   CHECK(it.MaxOperatorWait + it.AnswerTimeout <= plan * 17 / 20);
-  CHECK(it.ReplicaPeriod + it.AnswerTimeout <= drain * 17 / 20);
-  CHECK(it.AnswerTimeout + it.MaxRetryPause <= shorter * 3 / 4);
-  CHECK(it.RetryPause <= it.MaxRetryPause);
+  CHECK(it.ReplicaInterval + it.AnswerTimeout <= drain * 17 / 20);
+  CHECK(it.AnswerTimeout + it.MaxRetryDelay <= shorter * 3 / 4);
+  CHECK(it.RetryDelay <= it.MaxRetryDelay);
   CHECK(it.MaxOperatorWait > Span(0));
 }
 
@@ -29,10 +29,10 @@
       RegistryPollSettings::forBounds(milliseconds(2000), milliseconds(2000));
   RegistryPollSettings defaults;
   CHECK(it.MaxOperatorWait == defaults.MaxOperatorWait);
-  CHECK(it.ReplicaPeriod == defaults.ReplicaPeriod);
+  CHECK(it.ReplicaInterval == defaults.ReplicaInterval);
   CHECK(it.AnswerTimeout == defaults.AnswerTimeout);
-  CHECK(it.RetryPause == defaults.RetryPause);
-  CHECK(it.MaxRetryPause == defaults.MaxRetryPause);
+  CHECK(it.RetryDelay == defaults.RetryDelay);
+  CHECK(it.MaxRetryDelay == defaults.MaxRetryDelay);
 }
 
 } // namespace hemlockglade::test
--- a/UnitTests/Coordination/Route/ReplicaViewTest.cpp
+++ b/UnitTests/Coordination/Route/ReplicaViewTest.cpp
@@ -326,14 +326,14 @@
   query.SharedTokens = 500;
   it.View.onSent("i-1#1000", query, it.Now);
   it.View.onResidency("i-1#1000", {{Adapter, {1, it.Now}}}, it.Now);
-  CHECK(it.View.tokensToRead("i-1#1000", query) == 500);
+  CHECK(it.View.uncachedPromptTokens("i-1#1000", query) == 500);
   auto next = startedAt(2000);
   next.Held.clear();
   auto ended = it.View.onRegistry({false, {next}, {}, 2}, false, it.Now);
   REQUIRE(ended.size() == 1);
   CHECK(ended[0]->Incarnation.text() == "i-1#1000");
   CHECK(it.choose().Result == Kind::NotLoaded);
-  CHECK(it.View.tokensToRead("i-1#2000", query) == 1000);
+  CHECK(it.View.uncachedPromptTokens("i-1#2000", query) == 1000);
   CHECK(it.View.replicasIn("hall-a").size() == 1);
   CHECK(it.View.replicasIn("hall-a")[0]->Incarnation.text() == "i-1#2000");
   // The running request ends at the incarnation that it was sent to.
--- a/UnitTests/Node/ExchangeTest.cpp
+++ b/UnitTests/Node/ExchangeTest.cpp
@@ -27,7 +27,7 @@
 auto alwaysRetry = [](const FailedAttempt &it) {
   return it.How != Outcome::Complete && it.Attempts < 3
              ? RetryVerdict::Retry
-             : RetryVerdict::AttemptsSpent;
+             : RetryVerdict::AttemptsExhausted;
 };
 
 } // namespace
@@ -163,7 +163,7 @@
     rig.Engine.Answers = {{StreamStart.Bytes, true}, {StreamStart.Bytes, true}};
     if (!policy)
       rig.Hooks->MayRetry = [n = 0](const FailedAttempt &) mutable {
-        return n++ ? RetryVerdict::AttemptsSpent : RetryVerdict::Retry;
+        return n++ ? RetryVerdict::AttemptsExhausted : RetryVerdict::Retry;
       };
     rig.run();
     auto first = rig.Reply->Body.find("data: a");
--- a/UnitTests/Node/Gateway/GatewayExchangeTest.cpp
+++ b/UnitTests/Node/Gateway/GatewayExchangeTest.cpp
@@ -147,11 +147,11 @@
                             Instant, std::optional<Instant>) {
       BrokenReplicas.push_back(replica.Incarnation.text());
     };
-    hooks.OnGivenUp = [this](const ReplicaRecord &replica, const RequestKey &,
-                             Instant, std::optional<Instant>) {
+    hooks.OnAbandoned = [this](const ReplicaRecord &replica, const RequestKey &,
+                               Instant, std::optional<Instant>) {
       GivenUpReplicas.push_back(replica.Incarnation.text());
     };
-    hooks.OnReplaced = [](const ReplicaIncarnation &) {};
+    hooks.OnRestarted = [](const ReplicaIncarnation &) {};
     hooks.OnServed = [this](const RequestKey &) { ++ServedCount; };
     return hooks;
   }
--- a/UnitTests/Node/Gateway/GatewayRig.h
+++ b/UnitTests/Node/Gateway/GatewayRig.h
@@ -122,7 +122,7 @@
       if (Away)
         return fail(done);
       if (std::exchange(HistoryLost, false))
-        return fail(done, RegistryError::HistoryGone);
+        return fail(done, RegistryError::HistoryLost);
       answer(done, Replicas);
     };
     out.Registry.ParsePlan = [this](std::string_view source) {
--- a/UnitTests/Node/Gateway/RegistryWatcherTest.cpp
+++ b/UnitTests/Node/Gateway/RegistryWatcherTest.cpp
@@ -60,10 +60,10 @@
     };
     RegistryWatcher::Settings settings;
     settings.Poll.MaxOperatorWait = milliseconds(50);
-    settings.Poll.ReplicaPeriod = milliseconds(100);
+    settings.Poll.ReplicaInterval = milliseconds(100);
     settings.PeerUpdateSlack = slack;
     settings.OwnerTimeout = ownerTimeout;
-    settings.Poll.RetryPause = milliseconds(10);
+    settings.Poll.RetryDelay = milliseconds(10);
     settings.MinStandbyRetryDelay = milliseconds(200);
     settings.Poll.MaxOperatorAge = settings.Poll.MaxReplicaAge =
         milliseconds(1500);
@@ -76,7 +76,7 @@
         Present.push_back(at.Incarnation.id());
     };
     hooks.InformsPeers = [this] { return InformsPeers; };
-    hooks.StandsBy = [this] { return IsStandby; };
+    hooks.IsStandby = [this] { return IsStandby; };
     hooks.OnUpdate = [this] { ++ChangeReports; };
     Watcher = std::make_unique<RegistryWatcher>(Timers, registry, settings,
                                                 std::move(hooks), Log);
@@ -213,7 +213,7 @@
   WatcherFixture it(Forever, Forever, false);
   it.IsStandby = true;
   it.Watcher->start(milliseconds(100));
-  it.Watcher->onBriefed({10, 10}, Span(0), Span(0), TimerService::now());
+  it.Watcher->onBriefing({10, 10}, Span(0), Span(0), TimerService::now());
   it.startPeerUpdates(Span(0));
   REQUIRE(it.untilUpdates(15));
   CHECK(it.FullReads == 0);
@@ -225,7 +225,7 @@
 TEST_CASE("a peer's older state does not replace what a node has polled itself",
           "[gateway]") {
   WatcherFixture it;
-  it.Watcher->onBriefed({4, 4}, Span(0), Span(0), TimerService::now());
+  it.Watcher->onBriefing({4, 4}, Span(0), Span(0), TimerService::now());
   CHECK(it.Watcher->positions().Operator == 10);
   CHECK(it.Watcher->positions().Replica == 10);
 }
@@ -303,7 +303,7 @@
           "[gateway]") {
   WatcherFixture it;
   auto heldAt = it.holdPoll();
-  it.Watcher->onDeclared(Span(0), TimerService::now());
+  it.Watcher->onPeerDeclarations(Span(0), TimerService::now());
   it.HeldPolls[0](
       OperatorChanges{nullptr, {{WeightsRef::parse("m/a"), 3}}, 11});
   auto sentUpdate = it.Watcher->updateSince({10, 10});
@@ -348,7 +348,7 @@
   auto now = TimerService::now();
   static constexpr Span ConfirmedAgo = std::chrono::hours(1);
   static constexpr Span Transit = std::chrono::minutes(1);
-  it.Watcher->onBriefed({10, 10}, Span(0), Span(0), now - ConfirmedAgo);
+  it.Watcher->onBriefing({10, 10}, Span(0), Span(0), now - ConfirmedAgo);
   RegistryUpdate update;
   update.OperatorFrom = 10;
   update.OperatorPosition = 12;
--- a/UnitTests/Platform/StoreTest.cpp
+++ b/UnitTests/Platform/StoreTest.cpp
@@ -215,7 +215,7 @@
   it.Answer = {410, ""};
   std::optional<tl::expected<ReplicaChanges, RegistryError>> result;
   it.Store->registry().WatchReplicas(5, [&](auto got) { result = got; });
-  CHECK(it.wait(result).error() == RegistryError::HistoryGone);
+  CHECK(it.wait(result).error() == RegistryError::HistoryLost);
 }
 
 TEST_CASE("versions rise though the store gives its own out again", "[store]") {
@@ -265,10 +265,10 @@
   CHECK_FALSE(first->RolledBack);
   it.Era = "4";
   CHECK(it.watchReplicas(first->Position).error() ==
-        RegistryError::HistoryGone);
+        RegistryError::HistoryLost);
   auto calls = it.Calls.size();
   CHECK(it.watchReplicas(first->Position).error() ==
-        RegistryError::HistoryGone);
+        RegistryError::HistoryLost);
   CHECK(it.Calls.size() == calls);
   auto second = it.readReplicas();
   REQUIRE(second);
--- a/UnitTests/Protocol/Settings/GatewaySettingsTest.cpp
+++ b/UnitTests/Protocol/Settings/GatewaySettingsTest.cpp
@@ -74,8 +74,8 @@
   REQUIRE(settings);
   CHECK(settings->Decisions.Route.BacklogCost == Approx(2));
   CHECK(settings->Decisions.Placement.FastHalfLife == Span(0));
-  CHECK(settings->Decisions.Placement.RatePerCopy ==
-        CellPlacement::Settings{}.RatePerCopy);
+  CHECK(settings->Decisions.Placement.MaxRatePerCopy ==
+        CellPlacement::Settings{}.MaxRatePerCopy);
   auto wrong = readGatewaySettings(
       RequiredKeys +
           "decisions:\n  backlog_cost: much\n  hold_share: 2\n  odd: 1\n",
@@ -94,13 +94,14 @@
   const auto &decisions = settings->Decisions;
   const DecisionSettings defaults;
   CHECK(decisions.Route.BacklogCost == Approx(defaults.Route.BacklogCost));
-  CHECK(decisions.Route.PaceBacklog == defaults.Route.PaceBacklog);
-  CHECK(decisions.Placement.Concurrency.FirstPerRate ==
-        Approx(defaults.Placement.Concurrency.FirstPerRate));
+  CHECK(decisions.Route.MaxPrefillBacklog == defaults.Route.MaxPrefillBacklog);
+  CHECK(decisions.Placement.Concurrency.InitialPerRate ==
+        Approx(defaults.Placement.Concurrency.InitialPerRate));
   CHECK(decisions.Placement.FastHalfLife == defaults.Placement.FastHalfLife);
-  CHECK(decisions.Placement.PressedRatePerCopy ==
-        Approx(defaults.Placement.PressedRatePerCopy));
-  CHECK(decisions.Placement.WantLasts == defaults.Placement.WantLasts);
+  CHECK(decisions.Placement.CongestedRatePerCopy ==
+        Approx(defaults.Placement.CongestedRatePerCopy));
+  CHECK(decisions.Placement.WaitReportTimeout ==
+        defaults.Placement.WaitReportTimeout);
   CHECK(decisions.Exchange.CongestedAfter == defaults.Exchange.CongestedAfter);
   CHECK(decisions.Exchange.MinStallTime == defaults.Exchange.MinStallTime);
 }
