--- a/UnitTests/Platform/StoreTest.cpp
+++ b/UnitTests/Platform/StoreTest.cpp
@@ -220,7 +220,7 @@
   it.Answer = {410, ""};
   std::optional<tl::expected<ReplicaChanges, RegistryError>> result;
   it.Store->registry().WatchReplicas(5, [&](auto got) { result = got; });
-  CHECK(it.wait(result).error() == RegistryError::HistoryGone);
+  CHECK(it.wait(result).error() == RegistryError::HistoryLost);
 }
 
 TEST_CASE("versions increase after the store reuses its own in a new era",
@@ -271,10 +271,10 @@
   CHECK_FALSE(first->RolledBack);
   it.Era = "4";
   CHECK(it.watchReplicas(first->Position).error() ==
-        RegistryError::HistoryGone);
+        RegistryError::HistoryLost);
   auto calls = it.Calls.size();
   CHECK(it.watchReplicas(first->Position).error() ==
-        RegistryError::HistoryGone);
+        RegistryError::HistoryLost);
   CHECK(it.Calls.size() == calls);
   auto second = it.readReplicas();
   REQUIRE(second);
