--- a/StandIns/AnswerReader.cpp
+++ b/StandIns/AnswerReader.cpp
@@ -36,13 +36,13 @@
 }
 
 void AnswerReader::part(std::string_view text) {
-  Held.append(text);
+  Pending.append(text);
   if (!streamed())
     return;
-  for (auto it = Held.find('\n'); it != std::string::npos;
-       it = Held.find('\n')) {
-    line(std::string_view(Held).substr(0, it));
-    Held.erase(0, it + 1);
+  for (auto it = Pending.find('\n'); it != std::string::npos;
+       it = Pending.find('\n')) {
+    line(std::string_view(Pending).substr(0, it));
+    Pending.erase(0, it + 1);
   }
 }
 
@@ -87,9 +87,9 @@
   if (choices.empty())
     return fault("a token without a choice");
   const auto &choice = choices.front();
-  for (const char *holder : {"delta", "message"}) {
-    if (choice.contains(holder))
-      Text += choice[holder].value("content", "");
+  for (const char *field : {"delta", "message"}) {
+    if (choice.contains(field))
+      Text += choice[field].value("content", "");
   }
   Text += choice.value("text", "");
   Adapter = chunk.value("model", Adapter);
@@ -98,11 +98,11 @@
 void AnswerReader::end(bool whole) {
   bool complete = Outcome == "complete" && Status < FirstError;
   if (!Expected.Echo.empty()) {
-    Text = std::exchange(Held, "");
+    Text = std::exchange(Pending, "");
     if (complete && whole)
       checkEcho();
   } else {
-    auto node = json::parse(Held, nullptr, false);
+    auto node = json::parse(Pending, nullptr, false);
     if (!Expected.Stream && complete && whole && node.is_object())
       token(node);
     checkText(complete);
@@ -116,16 +116,17 @@
 void AnswerReader::checkText(bool complete) {
   if (Text.empty() && !complete)
     return;
-  bool named =
+  bool matches =
       Adapter == Expected.Model || Adapter.starts_with(Expected.Model + '@');
-  if (!named)
+  if (!matches)
     fault("asked " + Expected.Model + ", was answered by " + Adapter);
-  std::string due;
+  std::string expectedText;
   for (std::int64_t it = 0; it < Expected.Tokens; ++it)
-    due += Adapter + '#' + std::to_string(it) + '/' + Expected.Tag + ' ';
-  if (!due.starts_with(Text))
+    expectedText +=
+        Adapter + '#' + std::to_string(it) + '/' + Expected.Tag + ' ';
+  if (!expectedText.starts_with(Text))
     fault("a text that isn't the request's own");
-  if (complete && Text.size() != due.size())
+  if (complete && Text.size() != expectedText.size())
     fault("complete, but the text is short");
   if (complete && Expected.Stream && !Done)
     fault("complete, but without [DONE]");
--- a/StandIns/AnswerReader.h
+++ b/StandIns/AnswerReader.h
@@ -7,7 +7,7 @@
 /// What a caller expects of the answer to one request.
 struct ExpectedAnswer {
   std::string Tag;
-  /// As asked, with or without a version; empty for a plain service.
+  /// As in the request, with or without a version; empty for a plain service.
   std::string Model;
   std::int64_t Tokens = 0;
   bool Stream = false;
@@ -15,17 +15,20 @@
   std::string Echo;
 };
 
-/// Reads one answer as its caller and checks that it is whole and its own.
+/// Reads one answer on the caller's side, and checks that it is complete and
+/// belongs to the request.
 class AnswerReader {
 public:
   explicit AnswerReader(ExpectedAnswer expected);
 
   void head(int status, const HttpFields &fields);
   void part(std::string_view text);
-  /// Nothing more comes; `whole` if the answer ended as it should.
+  /// Called at the end of the answer; `whole` if the connection delivered all
+  /// of it.
   void end(bool whole);
 
-  /// `complete`, `not-run`, `unknown`, or `none` if the answer told nothing.
+  /// `complete`, `not-run`, `unknown`, or `none` if the answer contains no
+  /// outcome.
   std::string Outcome = "none";
   /// What is wrong with the answer; empty if nothing is.
   std::string Fault;
@@ -35,7 +38,7 @@
   std::string Adapter;
   std::string Replica;
   int Status = 0;
-  /// From Retry-After, in seconds; 0 if it isn't there.
+  /// From the Retry-After field, in seconds; 0 if the answer has none.
   std::int64_t RetryAfter = 0;
 
 private:
@@ -48,8 +51,9 @@
   bool streamed() const;
 
   ExpectedAnswer Expected;
-  /// Not yet a whole line, or the body of an answer that isn't streamed.
-  std::string Held;
+  /// The received part of an incomplete line, or the body of an answer that
+  /// isn't streamed.
+  std::string Pending;
   std::string EventName;
   std::string EventId;
   std::string EventData;
--- a/StandIns/CallerDirectory.cpp
+++ b/StandIns/CallerDirectory.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Span AskTimeout = std::chrono::seconds(2);
-constexpr Span AskAgain = std::chrono::milliseconds(200);
+constexpr Span QueryTimeout = std::chrono::seconds(2);
+constexpr Span RetryDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -26,44 +26,44 @@
 }
 
 void CallerDirectory::find(const std::string &query, const OnAnswer &done) {
-  auto it = Kept.find(query);
-  if (it != Kept.end() &&
+  auto it = Cached.find(query);
+  if (it != Cached.end() &&
       TimerService::now() < it->second.AskedAt + it->second.TimeToLive)
     return done(it->second);
-  ask(query, Tries, done);
+  sendQuery(query, MaxAttempts, done);
 }
 
-void CallerDirectory::ask(const std::string &query, int tries,
-                          const OnAnswer &done) {
-  if (tries == 0)
+void CallerDirectory::sendQuery(const std::string &query, int attempts,
+                                const OnAnswer &done) {
+  if (attempts == 0)
     return done({});
-  auto again = [this, query, tries, done] {
-    Host.timers().after(AskAgain, [this, query, tries, done](Instant) {
-      ask(query, tries - 1, done);
+  auto retry = [this, query, attempts, done] {
+    Host.timers().after(RetryDelay, [this, query, attempts, done](Instant) {
+      sendQuery(query, attempts - 1, done);
     });
   };
   auto known = nodes();
   if (known.empty())
-    return again();
+    return retry();
   HttpRequest request;
   request.Url =
       "http://" + known[++Next % known.size()] + "/directory?" + query;
-  request.Timeout = AskTimeout;
+  request.Timeout = QueryTimeout;
   auto asked = TimerService::now();
-  Client.fetch(request, [this, query, asked, done, again](
+  Client.fetch(request, [this, query, asked, done, retry](
                             const HttpResult &result, const std::string &body) {
     if (result.Whole && result.Status == 200)
-      take(query, asked, body);
-    auto it = Kept.find(query);
-    if (it == Kept.end() || it->second.AskedAt < asked ||
+      cacheAnswer(query, asked, body);
+    auto it = Cached.find(query);
+    if (it == Cached.end() || it->second.AskedAt < asked ||
         it->second.Addresses.empty())
-      return again();
+      return retry();
     done(it->second);
   });
 }
 
-void CallerDirectory::take(const std::string &query, Instant asked,
-                           const std::string &body) {
+void CallerDirectory::cacheAnswer(const std::string &query, Instant asked,
+                                  const std::string &body) {
   auto node = json::parse(body, nullptr, false);
   if (!node.is_object())
     return;
@@ -73,7 +73,7 @@
       std::chrono::duration<double>(node.value("ttl_s", 0.0)));
   for (const auto &it : node.value("addresses", json::array()))
     answer.Addresses.push_back(it.get<std::string>());
-  Kept[query] = std::move(answer);
+  Cached[query] = std::move(answer);
 }
 
 } // namespace hemlockglade
--- a/StandIns/CallerDirectory.h
+++ b/StandIns/CallerDirectory.h
@@ -4,42 +4,43 @@
 
 namespace hemlockglade {
 
-/// Where to send something, as the system said.
+/// Answer of a node's directory: the nodes that accept a request.
 struct DirectoryAnswer {
-  /// `ip:port`, the best one first.
+  /// `ip:port`, in order of preference.
   std::vector<std::string> Addresses;
   Instant AskedAt{};
   Span TimeToLive{};
 };
 
-/// A caller's memory of whom to ask: it asks any node, and keeps the answer
-/// for its time to live.
+/// A caller's cache of the directory: queries the nodes in turn and caches
+/// each answer for its time to live.
 class CallerDirectory {
 public:
   using OnAnswer = std::function<void(const DirectoryAnswer &)>;
 
-  /// `nodesFile` has a node's `ip:port` in each line; it is read again each
-  /// time, since nodes are replaced.
+  /// `nodesFile` has the `ip:port` of one node in each line. It is read before
+  /// each query, since nodes are replaced during a run.
   CallerDirectory(StandIn &host, HttpClient &client, std::string nodesFile);
 
-  /// Gives the answer to a query, asking until a node gives one. With no
-  /// address in it if none did in all tries.
+  /// Passes the answer to a query to `done`, retrying until a node answers.
+  /// The answer has no address if none did within MaxAttempts.
   void find(const std::string &query, const OnAnswer &done);
 
-  /// Nodes that are said to be there now.
+  /// Addresses that the nodes file lists now.
   std::vector<std::string> nodes() const;
 
 private:
-  static constexpr int Tries = 150;
+  static constexpr int MaxAttempts = 150;
 
-  void ask(const std::string &query, int tries, const OnAnswer &done);
-  void take(const std::string &query, Instant asked, const std::string &body);
+  void sendQuery(const std::string &query, int attempts, const OnAnswer &done);
+  void cacheAnswer(const std::string &query, Instant asked,
+                   const std::string &body);
 
   StandIn &Host;
   HttpClient &Client;
   std::string NodesFile;
   std::size_t Next = 0;
-  std::map<std::string, DirectoryAnswer> Kept;
+  std::map<std::string, DirectoryAnswer> Cached;
 };
 
 } // namespace hemlockglade
--- a/StandIns/CallerPlan.cpp
+++ b/StandIns/CallerPlan.cpp
@@ -23,7 +23,8 @@
 std::size_t CallerPlan::below(std::size_t n) { return Random() % n; }
 
 bool CallerPlan::chance(double share) {
-  // The standard distributions differ between libraries; this doesn't.
+  // The standard distributions give different values in different libraries,
+  // so the number is computed here.
   constexpr double Range = 1U << 20U;
   return static_cast<double>(Random() % (1U << 20U)) < share * Range;
 }
--- a/StandIns/EngineRun.h
+++ b/StandIns/EngineRun.h
@@ -4,22 +4,23 @@
 
 namespace hemlockglade {
 
-/// One answer that a stand-in engine generates. Its tokens name the adapter,
-/// their number and the request, so that a foreign or torn text shows.
+/// One answer that a stand-in engine generates. Each token contains the
+/// adapter, its index and the request's tag, so that a reader detects text of
+/// another request and missing parts.
 class EngineRun {
 public:
   EngineRun(const HttpIncoming &in, const nlohmann::json &body,
             std::string replica);
 
-  /// Makes the next token and sends it if somebody reads.
+  /// Generates the next token, and sends it if a reader is attached.
   void generate();
-  /// Whether all tokens are made.
+  /// Whether all tokens are generated.
   bool generated() const;
-  /// Begins the event stream.
+  /// Sends the head of the event stream.
   void startStream();
-  /// Sends the events after the one with this number.
+  /// Sends the events that follow event number `seen`.
   void replay(std::uint64_t seen);
-  /// Sends the end of the answer.
+  /// Sends the end of the answer, or the whole answer if it isn't streamed.
   void finish();
 
   std::uint64_t Number = 0;
@@ -29,13 +30,13 @@
   /// The caller's own name for the request, `user` in the body.
   std::string Tag;
   std::string Text;
-  /// Empty while nobody reads.
+  /// Empty while no reader is attached.
   std::shared_ptr<HttpReply> Reply;
-  /// Tokens made.
+  /// Number of tokens generated.
   std::int64_t Next = 0;
-  /// How often the reader went away.
+  /// How often the reader has disconnected.
   int Detached = 0;
-  /// Break off after so many tokens; 0 for never.
+  /// Number of tokens after which the connection is broken; 0 for never.
   std::int64_t CutAfter = 0;
   bool Stream = false;
   bool Truncated = false;
--- a/StandIns/HistoryNoteMain.cpp
+++ b/StandIns/HistoryNoteMain.cpp
@@ -1,4 +1,4 @@
-// Adds one line to a history, for scripts:
+// Appends one line to a history file; used by scripts:
 //   HistoryNote FILE WHO EVENT [NAME=VALUE]...
 
 #include "StandIns/StandInHost.h"
--- a/StandIns/StandIn.h
+++ b/StandIns/StandIn.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The main of every stand-in: flags, a listener, one thread, a history file.
-// Included once a program.
+// Shared main function of the stand-ins: flags, an HTTP listener, one thread
+// and a history file. Included in exactly one source file of each program,
+// since it defines flags.
 
 #include "StandIns/StandInHost.h"
 
@@ -14,12 +15,13 @@
 
 DEFINE_int32(port, 0, "port to listen on; 0 lets the kernel choose");
 DEFINE_string(port_file, "", "file to write the chosen ports to");
-DEFINE_string(history, "", "file to append what happened to, as JSON lines");
+DEFINE_string(history, "", "file to append events to, as JSON lines");
 
 namespace hemlockglade {
 
-/// Runs a stand-in class until SIGTERM. The port file gets the port that
-/// others use and, if that isn't the HTTP listener's, the control port.
+/// Runs a stand-in of class T until SIGTERM or SIGINT. Writes to the port file
+/// the port that other processes use and, if the HTTP listener has another
+/// one, then that as the control port.
 template <typename T> int serveStandIn(int argc, char **argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   asio::io_context context(1);
@@ -46,7 +48,7 @@
   return 0;
 }
 
-/// What the main of a stand-in does.
+/// Body of a stand-in's main function; returns the exit code.
 template <typename T> int runStandIn(int argc, char **argv) {
   return guarded([argc, argv] { return serveStandIn<T>(argc, argv); });
 }
--- a/StandIns/StandInCallerMain.cpp
+++ b/StandIns/StandInCallerMain.cpp
@@ -1,7 +1,8 @@
-// A caller, many requests at a time: asks the directory, keeps the answer for
-// its time to live, sends, reads and checks the whole answer, honours
-// Retry-After, and writes a history. Ends by itself after --requests. With
-// --observe_ms it only looks at the configuration in force, until SIGTERM.
+// Simulated caller with many concurrent requests. It queries the directory,
+// caches the answer for its time to live, sends requests, reads and checks the
+// whole answers, waits as Retry-After says, and writes a history. Exits after
+// --requests. With --observe_ms it only polls the configuration in force, until
+// SIGTERM.
 
 #include "StandIns/AnswerReader.h"
 #include "StandIns/CallerDirectory.h"
@@ -17,17 +18,21 @@
 INITIALIZE_EASYLOGGINGPP
 
 DEFINE_string(name, "caller-1", "name in the history");
-DEFINE_string(history, "", "file to append what happened to, as JSON lines");
-DEFINE_string(nodes_file, "", "file with a node's ip:port in each line");
-DEFINE_string(models, "", "adapters to ask for, most wanted first: a@1,b");
+DEFINE_string(history, "", "file to append events to, as JSON lines");
+DEFINE_string(nodes_file, "", "file with the ip:port of one node in each line");
+DEFINE_string(models, "", "adapters to request, most popular first: a@1,b");
 DEFINE_string(services, "", "plain services to call: a,b");
-DEFINE_int64(requests, 100, "orders to place; copies and retries come on top");
-DEFINE_int32(workers, 8, "orders at a time");
-DEFINE_uint64(seed, 1, "seed of what is asked for");
-DEFINE_int32(pause_ms, 0, "pause of a worker between orders");
-DEFINE_int32(max_tokens, 200, "longest answer");
-DEFINE_int32(max_sends, 6, "sends of one order, copies aside");
-DEFINE_int32(observe_ms, 0, "time between looks at the configuration");
+DEFINE_int64(requests, 100,
+             "requests to send, not counting copies and retries");
+DEFINE_int32(workers, 8, "concurrent requests");
+DEFINE_uint64(seed, 1, "seed of the generated requests");
+DEFINE_int32(pause_ms, 0,
+             "pause of a worker between requests, in milliseconds");
+DEFINE_int32(max_tokens, 200, "max. tokens of an answer");
+DEFINE_int32(max_sends, 6, "max. attempts of one request, not counting copies");
+DEFINE_int32(observe_ms, 0,
+             "interval between polls of the configuration, in "
+             "milliseconds; 0 sends requests instead");
 
 namespace {
 
@@ -36,7 +41,7 @@
 
 constexpr Span AnswerTimeout = std::chrono::seconds(90);
 constexpr Span ObserveTimeout = std::chrono::seconds(1);
-constexpr std::int64_t LongestWait = 3;
+constexpr std::int64_t MaxRetryDelayS = 3;
 
 std::vector<std::string> split(const std::string &text) {
   std::vector<std::string> out;
@@ -56,16 +61,17 @@
   return settings;
 }
 
-/// One sending of an order.
+/// One attempt of a request.
 struct Sending {
   CallerOrder Order;
-  /// Which sending of the order this is, from 1.
+  /// Number of the attempt within the request, from 1.
   int Attempt = 1;
-  /// Whether this is the copy for another node.
+  /// Whether this is the copy that is sent to another node.
   bool Copy = false;
-  /// Name that endpoints see; one for all sendings of a keyed order.
+  /// Name that endpoints receive; all attempts of a request with an idempotency
+  /// key have the same one.
   std::string Tag;
-  /// Name of this sending alone.
+  /// Unique name of this attempt.
   std::string Id;
   std::string To;
   std::optional<AnswerReader> Reader;
@@ -104,7 +110,7 @@
     prepare(sending);
   }
 
-  /// Finds out where to send to.
+  /// Queries the directory for the nodes to send to, then sends.
   void prepare(const Shared &sending) {
     const auto &order = sending->Order;
     auto number = FLAGS_name + '-' + std::to_string(order.Number);
@@ -120,7 +126,8 @@
     });
   }
 
-  /// Mostly the first address; copies and some others go elsewhere.
+  /// Chooses the first address for most attempts, the last one for copies, and
+  /// a random one for the rest.
   std::string choose(const Sending &sending, const DirectoryAnswer &answer) {
     constexpr double ElsewhereShare = 0.3;
     const auto &all = answer.Addresses;
@@ -153,8 +160,8 @@
     request.Timeout = AnswerTimeout;
     request.Body = body(*sending);
     request.Fields = {{"Content-Type", "application/json"}};
-    // A kept connection is reused only where a second sending by libcurl
-    // itself does no harm.
+    // libcurl may itself resend a request on a reused connection, so requests
+    // that must not run twice get a new connection.
     request.FreshConnection = !order.Key.empty();
     if (!order.Key.empty()) {
       request.Fields.emplace_back(header::IdempotencyKey, order.Key);
@@ -208,11 +215,12 @@
                  {"replica", reader.Replica},
                  {"fault", reader.Fault},
                  {"error", result.Error}});
-    // A node that could not be reached may be gone; what was kept of the
-    // directory runs out by itself.
-    if (!again(*sending))
+    // A node that could not be reached may have ended; the cached directory
+    // answer expires by itself.
+    if (!mustRetry(*sending))
       return end(sending, "");
-    auto wait = std::chrono::seconds(std::min(reader.RetryAfter, LongestWait));
+    auto wait =
+        std::chrono::seconds(std::min(reader.RetryAfter, MaxRetryDelayS));
     Host.timers().after(wait + std::chrono::milliseconds(200),
                         [this, sending](Instant) {
                           auto retry = std::make_shared<Sending>();
@@ -223,8 +231,9 @@
                         });
   }
 
-  /// Whether a caller would send the order once more.
-  static bool again(const Sending &sending) {
+  /// Whether the request is to be retried: it didn't complete, wasn't rejected
+  /// as invalid, and has attempts left.
+  static bool mustRetry(const Sending &sending) {
     const auto &reader = *sending.Reader;
     constexpr int BadRequest = 400;
     constexpr int TooMany = 429;
@@ -239,17 +248,18 @@
           {{"event", event}, {"sending", sending->Id}, {"tag", sending->Tag}});
     if (sending->Copy) {
       --Copies;
-      return lastOut();
+      return stopIfDone();
     }
     Host.timers().after(std::chrono::milliseconds(FLAGS_pause_ms),
                         [this](Instant) {
                           next();
-                          lastOut();
+                          stopIfDone();
                         });
   }
 
-  /// Copies may outlast all workers.
-  void lastOut() {
+  /// Stops the program once all workers are idle and no copy, which may take
+  /// longer than them, is under way.
+  void stopIfDone() {
     if (Idle == FLAGS_workers && Copies == 0)
       Host.context().stop();
   }
@@ -264,17 +274,17 @@
   std::map<std::string, int> Counts;
 };
 
-/// Looks at the configuration in force on each node again and again.
+/// Polls each node's configuration in force periodically.
 class Observer {
 public:
   explicit Observer(StandIn &host)
       : Host(host), Client(host.context()),
         Directory(host, Client, FLAGS_nodes_file),
         Round(host.timers().every(std::chrono::milliseconds(FLAGS_observe_ms),
-                                  [this](Instant) { look(); })) {}
+                                  [this](Instant) { poll(); })) {}
 
 private:
-  void look() {
+  void poll() {
     for (const auto &node : Directory.nodes()) {
       HttpRequest request;
       request.Method = "POST";
--- a/StandIns/StandInEngineMain.cpp
+++ b/StandIns/StandInEngineMain.cpp
@@ -1,16 +1,19 @@
-// A stand-in for a model engine: the OpenAI-style API, adapter orders with
-// fencing, load reports, resume of streams. It makes up its tokens from the
-// request. Faults are set by flags and by /control:
+// Stand-in for a model engine: the OpenAI-style API, loading and unloading of
+// adapters with fencing, load reports, and resuming of streams. It derives its
+// tokens from the request. Faults are set by flags and by /control:
 //
 //   refuse=N         refuse the next N requests before running them (503)
 //   fail_loads=N     fail the next N loads
-//   load_ms=N        every load takes this much longer
-//   late_ms=N        hold each answer's first token back
-//   truncate=N       end the next N answers half way as if they were whole
+//   load_ms=N        delay every load by N ms
+//   late_ms=N        delay the first token of each answer by N ms
+//   truncate=N       end the next N answers after half of the tokens, as if
+//                    they were complete
 //   double=N         send each token of the next N streams twice
-//   cut=N, cut_after=K   break the next N answers after K tokens
-//   report_lag_ms=N  reports tell what was true that long ago
-//   restart=1        a new incarnation: nothing loaded, what ran is cut
+//   cut=N, cut_after=K   break the connection of the next N answers after K
+//                    tokens
+//   report_lag_ms=N  reports give the state of N ms ago
+//   restart=1        start a new incarnation: nothing is loaded, and running
+//                    requests are cut
 
 #include "StandIns/EngineRun.h"
 #include "StandIns/StandIn.h"
@@ -18,15 +21,17 @@
 #include <deque>
 
 DEFINE_string(name, "engine-1", "name of the replica");
-DEFINE_int32(slots, 8, "adapters that fit");
-DEFINE_int32(batch, 32, "requests that run at once");
+DEFINE_int32(slots, 8, "adapters that can be resident at once");
+DEFINE_int32(batch, 32, "concurrent requests; twice as many are accepted");
 DEFINE_int32(token_us, 2000, "time between tokens, in microseconds");
 DEFINE_bool(checks_fencing, true, "refuse orders with an old fencing number");
-DEFINE_string(weights, "", "URL of the weight store; empty loads at once");
+DEFINE_string(weights, "",
+              "URL of the weight store; if empty, loads need no weights");
 DEFINE_int32(linger_ms, 0,
-             "how long a stream goes on without its caller and can be "
+             "how long a stream without a reader continues and can be "
              "resumed; 0 cancels it at once");
-DEFINE_int32(load_ms, 0, "time that a load takes besides the weight store's");
+DEFINE_int32(load_ms, 0,
+             "delay of a load besides the time of the weight store");
 DEFINE_int32(report_lag_ms, 0, "age of the load reports");
 
 namespace {
@@ -34,7 +39,7 @@
 using namespace hemlockglade;
 using nlohmann::json;
 
-/// Faults that are still to come.
+/// Faults to be injected; counts fall with each one injected.
 struct EngineFaults {
   std::int64_t Refuse = 0;
   std::int64_t FailLoads = 0;
@@ -47,13 +52,13 @@
   std::int64_t ReportLagMs = 0;
 };
 
-/// Takes one from a fault's count.
-bool take(std::int64_t &n) { return n > 0 && n--; }
+/// Decrements a fault's count; returns whether the fault is to be injected.
+bool consume(std::int64_t &n) { return n > 0 && n--; }
 
 constexpr int Gone = 410;
 constexpr int Unavailable = 503;
 
-/// The engine. One thread runs it, so it needs no lock.
+/// The engine. Runs on one thread, so it needs no lock.
 class Engine {
 public:
   explicit Engine(StandIn &host) : Host(host), Client(host.context()) {
@@ -64,7 +69,7 @@
 
   void onHttp(const HttpIncoming &in, const std::shared_ptr<HttpReply> &reply) {
     if (in.Path == "/load")
-      return reply->sendWhole(200, {}, lagging());
+      return reply->sendWhole(200, {}, laggedReport());
     if (in.Path == "/v1/load_lora_adapter")
       return load(in, reply);
     if (in.Path == "/v1/unload_lora_adapter")
@@ -78,7 +83,7 @@
   }
 
 private:
-  /// A report and when it was true.
+  /// A report and the time of the state it describes.
   struct Snapshot {
     Instant At{};
     EngineReport Report;
@@ -89,7 +94,7 @@
     Fence = 0;
     Resident.clear();
     Host.record({{"event", event}, {"incarnation", Incarnation}});
-    changed();
+    recordReport();
   }
 
   void control(const HttpIncoming &in, HttpReply &reply) {
@@ -113,12 +118,13 @@
 
   void restart() {
     for (auto &run : std::exchange(Runs, {}))
-      over(*run, "cut");
+      recordEnd(*run, "cut");
     begin("restarted");
   }
 
-  /// Keeps what a lagging report will tell.
-  void changed() {
+  /// Stores the current state, so that later reports can be delayed by the
+  /// configured lag; drops those that are older than needed.
+  void recordReport() {
     EngineReport report;
     report.Incarnation = Incarnation;
     for (const auto &[adapter, running] : Resident) {
@@ -132,8 +138,8 @@
       Reports.pop_front();
   }
 
-  std::string lagging() {
-    changed();
+  std::string laggedReport() {
+    recordReport();
     auto report = Reports.front().Report;
     report.AgeMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                        TimerService::now() - Reports.front().At)
@@ -142,8 +148,9 @@
     return engine_format::reportBody(report);
   }
 
-  /// Whether the order comes from an owner that has been replaced.
-  bool fenced(const HttpIncoming &in, HttpReply &reply) {
+  /// Answers with 409 and returns true if the command has a lower fencing
+  /// number than an earlier one, so that its sender is no longer the owner.
+  bool refuseStaleEpoch(const HttpIncoming &in, HttpReply &reply) {
     auto epoch = std::strtoull(in.field(header::Fence).value_or("0").c_str(),
                                nullptr, 10);
     if (FLAGS_checks_fencing && epoch < Fence) {
@@ -159,22 +166,22 @@
     auto adapter = engine_format::readOrder(in.Body);
     if (!adapter)
       return reply->sendWhole(400, {}, errorBody("bad", adapter.error().Text));
-    if (fenced(in, *reply))
+    if (refuseStaleEpoch(in, *reply))
       return;
     if (Resident.contains(*adapter))
       return reply->sendWhole(200, {}, "{}");
     if (Resident.size() + Loading >= static_cast<std::size_t>(FLAGS_slots))
       return reply->sendWhole(400, {}, errorBody("full", "no free slot"));
     ++Loading;
-    auto order = std::make_shared<LoadOrder>(
-        LoadOrder{*adapter, Incarnation, in.field(header::Fence).value_or(""),
-                  take(Faults.FailLoads), reply});
+    auto order = std::make_shared<LoadCommand>(
+        LoadCommand{*adapter, Incarnation, in.field(header::Fence).value_or(""),
+                    consume(Faults.FailLoads), reply});
     Host.timers().after(std::chrono::milliseconds(Faults.LoadMs),
                         [this, order](Instant) { fetchWeights(order); });
   }
 
-  /// An order to load that is being carried out.
-  struct LoadOrder {
+  /// A command to load an adapter that is in progress.
+  struct LoadCommand {
     std::string Adapter;
     std::string Incarnation;
     std::string Epoch;
@@ -182,7 +189,7 @@
     std::shared_ptr<HttpReply> Reply;
   };
 
-  void fetchWeights(const std::shared_ptr<LoadOrder> &order) {
+  void fetchWeights(const std::shared_ptr<LoadCommand> &order) {
     if (FLAGS_weights.empty())
       return loaded(*order, true);
     HttpRequest fetch;
@@ -193,7 +200,7 @@
                  });
   }
 
-  void loaded(const LoadOrder &order, bool fetched) {
+  void loaded(const LoadCommand &order, bool fetched) {
     --Loading;
     if (!fetched || order.Fails || order.Incarnation != Incarnation) {
       Host.record({{"event", "load_failed"}, {"adapter", order.Adapter}});
@@ -204,7 +211,7 @@
     Host.record({{"event", "loaded"},
                  {"adapter", order.Adapter},
                  {"epoch", order.Epoch}});
-    changed();
+    recordReport();
     order.Reply->sendWhole(200, {}, "{}");
   }
 
@@ -212,7 +219,7 @@
     auto adapter = engine_format::readOrder(in.Body);
     if (!adapter)
       return reply.sendWhole(400, {}, errorBody("bad", adapter.error().Text));
-    if (fenced(in, reply))
+    if (refuseStaleEpoch(in, reply))
       return;
     auto it = Resident.find(*adapter);
     if (it == Resident.end())
@@ -222,7 +229,7 @@
                  {"running", it->second},
                  {"epoch", in.field(header::Fence).value_or("")}});
     Resident.erase(it);
-    changed();
+    recordReport();
     reply.sendWhole(200, {}, "{}");
   }
 
@@ -244,17 +251,17 @@
     auto it = Resident.find(adapter);
     if (it == Resident.end())
       return refuse(in, *reply, 404, "not_loaded");
-    if (take(Faults.Refuse) ||
+    if (consume(Faults.Refuse) ||
         Runs.size() >= static_cast<std::size_t>(FLAGS_batch) * 2)
       return refuse(in, *reply, Unavailable, "refused");
     auto run = std::make_shared<EngineRun>(in, node, FLAGS_name);
     run->Number = ++LastRun;
-    run->Truncated = take(Faults.Truncate);
-    run->Doubled = take(Faults.Double);
-    run->CutAfter = take(Faults.Cut) ? Faults.CutAfter : 0;
+    run->Truncated = consume(Faults.Truncate);
+    run->Doubled = consume(Faults.Double);
+    run->CutAfter = consume(Faults.Cut) ? Faults.CutAfter : 0;
     ++it->second;
     Runs.push_back(run);
-    changed();
+    recordReport();
     Host.record({{"event", "ran"},
                  {"run", run->Number},
                  {"request", run->Id},
@@ -268,7 +275,7 @@
                         [this, run](Instant) { step(run); });
   }
 
-  /// Goes on with a stream from the event that its caller saw last.
+  /// Resumes a stream after the last event that its caller received.
   void resume(const HttpIncoming &in, const std::shared_ptr<HttpReply> &reply) {
     auto id = in.field(header::RequestId).value_or("");
     auto it = std::find_if(Runs.begin(), Runs.end(), [&id](const auto &run) {
@@ -296,7 +303,8 @@
       run->startStream();
   }
 
-  /// The other side went away: the run is cancelled, or goes on for a while.
+  /// Called when the reader has disconnected: cancels the run, or lets a stream
+  /// continue for --linger_ms.
   void detach(const std::shared_ptr<EngineRun> &run) {
     if (run->Over)
       return;
@@ -319,7 +327,7 @@
     if (run->CutAfter && run->Next >= run->CutAfter)
       return end(run, "cut");
     if (run->generated()) {
-      // Without its caller the finished run waits to be resumed.
+      // Without a reader the finished run waits to be resumed.
       if (run->Reply)
         finish(run);
       return;
@@ -340,12 +348,12 @@
     auto it = Resident.find(run->Adapter);
     if (it != Resident.end() && it->second)
       --it->second;
-    changed();
-    over(*run, event);
+    recordReport();
+    recordEnd(*run, event);
   }
 
-  /// Says how a run ended; one that is cut breaks its connection.
-  void over(EngineRun &run, std::string_view event) {
+  /// Records how a run ended, and breaks the connection of one that is cut.
+  void recordEnd(EngineRun &run, std::string_view event) {
     run.Over = true;
     Host.record({{"event", event},
                  {"run", run.Number},
@@ -366,7 +374,7 @@
   Epoch Fence = 0;
   std::size_t Loading = 0;
   std::uint64_t LastRun = 0;
-  /// Adapters that are loaded, and requests running on each.
+  /// Resident adapters, and the number of requests running on each.
   std::map<std::string, std::uint32_t> Resident;
   std::vector<std::shared_ptr<EngineRun>> Runs;
   std::deque<Snapshot> Reports;
--- a/StandIns/StandInHost.cpp
+++ b/StandIns/StandInHost.cpp
@@ -17,7 +17,8 @@
     return;
   line["at_us"] = TimerService::now().count();
   line["who"] = Name;
-  // One write a line, so that processes may share a file.
+  // Each line is written at once, so that several processes can append to
+  // the same file.
   History << line.dump() + '\n' << std::flush;
 }
 
--- a/StandIns/StandInHost.h
+++ b/StandIns/StandInHost.h
@@ -8,10 +8,11 @@
 
 namespace hemlockglade {
 
-/// The process that a stand-in lives in: its context, timers and history.
+/// Services that a stand-in's process provides to it: context, timers and
+/// history.
 class StandIn {
 public:
-  /// Appends to the history file; an empty path records nothing.
+  /// Appends to the history file; with an empty path nothing is recorded.
   StandIn(asio::io_context &context, std::string name,
           const std::string &historyPath);
 
@@ -19,10 +20,12 @@
   TimerService &timers() { return Timers; }
   const std::string &name() const { return Name; }
 
-  /// Adds one line to the history, see HISTORY.md.
+  /// Appends one line to the history; HISTORY.md describes the events. Adds
+  /// the time and the stand-in's name.
   void record(nlohmann::json line);
 
-  /// Port that others connect to, if it isn't the one of the HTTP listener.
+  /// Port that other processes connect to, if it differs from that of the HTTP
+  /// listener; otherwise 0.
   std::uint16_t DataPort = 0;
 
 private:
@@ -32,14 +35,15 @@
   std::ofstream History;
 };
 
-/// A text that is different for each start.
+/// Returns a random identifier, different for each start.
 std::string newStandInId();
 
-/// A whole number from a query; `fallback` if it isn't there.
+/// Returns an integer parameter of the query, or `fallback` if it is missing.
 std::int64_t queryNumber(const HttpIncoming &in, std::string_view name,
                          std::int64_t fallback);
 
-/// Runs what `main` does, and says why if it can't.
+/// Runs the body of `main` and returns its exit code; if it throws, prints a
+/// message and returns 1.
 template <typename Call> int guarded(Call call) {
   try {
     return call();
@@ -49,7 +53,7 @@
   }
 }
 
-/// Hash of a text as it stands in the history.
+/// Returns the hash of a text, as hexadecimal digits, that histories contain.
 std::string textHash(std::string_view text);
 
 } // namespace hemlockglade
--- a/StandIns/StandInPlatformMain.cpp
+++ b/StandIns/StandInPlatformMain.cpp
@@ -1,14 +1,15 @@
-// A stand-in for the platform: table, object store, host list, weight store.
+// Stand-in for the platform: table, object store, host list, weight store.
 // Faults are set by flags and by /control:
 //
 //   op=O&mode=M      O: row, scan, commit, objects, hosts, weights or all
-//                    M: up, down (breaks the connection), lose (does it, then
-//                       breaks), hang (answers once the mode changes),
-//                       swallow (never answers what came meanwhile), or slow
-//                       with &slow_ms=N
+//                    M: up, down (breaks the connection), lose (executes the
+//                       operation, then breaks the connection), hang (answers
+//                       once the mode changes), swallow (never answers requests
+//                       received in this mode), or slow with &slow_ms=N
 //   table=M          the same for row, scan and commit
 //   loads_per_second=X  rate of the weight store
-//   leaving=NAME, back=NAME   what the host list says, after its lag
+//   leaving=NAME, back=NAME   change of a host's entry in the host list, after
+//                             its lag
 
 #include "StandIns/StandIn.h"
 
@@ -16,8 +17,9 @@
 #include <set>
 
 DEFINE_string(name, "platform", "name in the history");
-DEFINE_double(loads_per_second, 3.0, "rate of the weight store");
-DEFINE_int32(host_lag_ms, 0, "lag of the host list");
+DEFINE_double(loads_per_second, 3.0,
+              "rate of the weight store, over all loads");
+DEFINE_int32(host_lag_ms, 0, "lag of the host list, in milliseconds");
 
 namespace {
 
@@ -58,7 +60,8 @@
 private:
   static constexpr Span StepInterval = std::chrono::milliseconds(5);
 
-  /// A load that is being fetched; `Left` is the part that is still to come.
+  /// A fetch of weights in progress; `Left` is the part that remains, from 1
+  /// to 0.
   struct Fetch {
     std::shared_ptr<HttpReply> Reply;
     double Left = 1.0;
@@ -127,7 +130,7 @@
       onHttp(in, reply);
   }
 
-  /// Changes the host list once its lag is over.
+  /// Changes the host list after the configured lag.
   void list(const std::string &name, bool leaving) {
     Host.timers().after(
         std::chrono::milliseconds(FLAGS_host_lag_ms),
@@ -194,7 +197,7 @@
     return true;
   }
 
-  /// All running fetches share the rate evenly.
+  /// Advances all running fetches, which share the rate evenly.
   void serveWeights(Instant now) {
     double seconds = std::chrono::duration<double>(now - LastStep).count();
     LastStep = now;
--- a/StandIns/StandInRelayMain.cpp
+++ b/StandIns/StandInRelayMain.cpp
@@ -1,11 +1,12 @@
-// A TCP relay that cuts, delays and refuses connections on demand, to stand
-// between two processes. Its HTTP port takes /control:
+// TCP relay between two processes that cuts, delays and refuses connections on
+// demand. Its HTTP port takes /control:
 //
 //   cut=1          break all connections now
-//   cut_after=N    break each connection once N bytes went either way; 0 off
-//   delay_ms=N     hold back what arrives from now on; 0 off
-//   refuse=1       stop listening, so that connecting fails
-//   heal=1         all faults off
+//   cut_after=N    break each connection after N bytes in one direction; 0 off
+//   delay_ms=N     delay the data that arrives from now on; 0 off
+//   refuse=1       stop listening, so that connecting fails, and break all
+//                  connections
+//   heal=1         turn all faults off
 
 #include "StandIns/StandIn.h"
 
@@ -16,25 +17,25 @@
 #include <set>
 
 DEFINE_string(name, "relay-1", "name in the history");
-DEFINE_string(to, "", "numeric ip:port to pass connections on to");
-DEFINE_string(endpoint, "", "name of what stands behind the relay");
+DEFINE_string(to, "", "numeric ip:port to forward connections to");
+DEFINE_string(endpoint, "", "name of the endpoint behind the relay");
 
 namespace {
 
 using namespace hemlockglade;
 using asio::ip::tcp;
 
-/// Faults that hold for all connections.
+/// Faults that apply to all connections.
 struct RelayFaults {
   std::uint64_t CutAfter = 0;
   std::chrono::milliseconds Delay{0};
 };
 
-/// One passed-on connection.
-class Passage : public std::enable_shared_from_this<Passage> {
+/// One relayed connection.
+class Connection : public std::enable_shared_from_this<Connection> {
 public:
-  Passage(tcp::socket near, const RelayFaults &faults,
-          std::function<void()> cut)
+  Connection(tcp::socket near, const RelayFaults &faults,
+             std::function<void()> cut)
       : Near(std::move(near)), Far(Near.get_executor()), Faults(faults),
         Cut(std::move(cut)) {}
 
@@ -50,7 +51,7 @@
     });
   }
 
-  /// Ends both sides with a reset, as a broken link would.
+  /// Closes both sides with a TCP reset, as after a broken link.
   void close() {
     for (auto *socket : {&Near, &Far}) {
       asio::error_code ec;
@@ -64,7 +65,7 @@
 private:
   static constexpr std::size_t BufferBytes = 16UL * 1024;
 
-  /// One direction.
+  /// State of one direction.
   struct Flow {
     std::array<char, BufferBytes> Buf{};
     std::uint64_t Passed = 0;
@@ -75,29 +76,30 @@
                          [self = shared_from_this(), &from, &to,
                           &flow](asio::error_code ec, std::size_t n) {
                            if (ec)
-                             return self->endOf(ec, to);
-                           self->hold(from, to, flow, n);
+                             return self->onEnd(ec, to);
+                           self->delay(from, to, flow, n);
                          });
   }
 
-  /// Passes the end of one direction on; a fault ends both.
-  void endOf(asio::error_code ec, tcp::socket &to) {
+  /// Forwards the end of one direction; an error closes both.
+  void onEnd(asio::error_code ec, tcp::socket &to) {
     if (ec != asio::error::eof || ++Ends == 2)
       return close();
     asio::error_code ignored;
     to.shutdown(tcp::socket::shutdown_send, ignored);
   }
 
-  void hold(tcp::socket &from, tcp::socket &to, Flow &flow, std::size_t n) {
+  void delay(tcp::socket &from, tcp::socket &to, Flow &flow, std::size_t n) {
     if (Faults.Delay.count() == 0)
-      return pass(from, to, flow, n);
+      return forward(from, to, flow, n);
     auto timer =
         std::make_shared<asio::steady_timer>(Near.get_executor(), Faults.Delay);
-    timer->async_wait([self = shared_from_this(), timer, &from, &to, &flow,
-                       n](asio::error_code) { self->pass(from, to, flow, n); });
+    timer->async_wait(
+        [self = shared_from_this(), timer, &from, &to, &flow,
+         n](asio::error_code) { self->forward(from, to, flow, n); });
   }
 
-  void pass(tcp::socket &from, tcp::socket &to, Flow &flow, std::size_t n) {
+  void forward(tcp::socket &from, tcp::socket &to, Flow &flow, std::size_t n) {
     bool last = Faults.CutAfter && flow.Passed + n >= Faults.CutAfter;
     if (last)
       n = std::min<std::size_t>(n, Faults.CutAfter -
@@ -166,23 +168,23 @@
     Acceptor.async_accept([this](asio::error_code ec, tcp::socket near) {
       if (ec)
         return;
-      std::erase_if(Passages, [](const auto &it) {
-        auto passage = it.lock();
-        return !passage || !passage->open();
+      std::erase_if(Connections, [](const auto &it) {
+        auto connection = it.lock();
+        return !connection || !connection->open();
       });
-      auto passage = std::make_shared<Passage>(std::move(near), Faults,
-                                               [this] { note("severed"); });
-      Passages.push_back(passage);
-      passage->start(To);
+      auto connection = std::make_shared<Connection>(
+          std::move(near), Faults, [this] { note("severed"); });
+      Connections.push_back(connection);
+      connection->start(To);
       accept();
     });
   }
 
   void cutAll() {
     note("severed");
-    for (auto &it : std::exchange(Passages, {})) {
-      if (auto passage = it.lock())
-        passage->close();
+    for (auto &it : std::exchange(Connections, {})) {
+      if (auto connection = it.lock())
+        connection->close();
     }
   }
 
@@ -208,7 +210,7 @@
   tcp::endpoint To;
   std::uint16_t Port = 0;
   RelayFaults Faults;
-  std::vector<std::weak_ptr<Passage>> Passages;
+  std::vector<std::weak_ptr<Connection>> Connections;
 };
 
 } // namespace
--- a/StandIns/StandInServiceMain.cpp
+++ b/StandIns/StandInServiceMain.cpp
@@ -1,25 +1,26 @@
-// A stand-in for a plain service: it answers with what it was sent. Faults by
-// /control:
+// Stand-in for a plain service that echoes the body of each request. Faults are
+// set by /control:
 //
-//   cut_before=N   break the connection of the next N calls, not running them
+//   cut_before=N   break the connection of the next N calls without running
+//                  them
 //   cut_after=N    run the next N calls, then break the connection
 //   refuse=N       refuse the next N calls before running them (503)
-//   work_ms=N      time that a call takes
+//   work_ms=N      duration of a call in milliseconds
 
 #include "StandIns/StandIn.h"
 
 DEFINE_string(name, "service-1", "name of the replica");
-DEFINE_int32(work_ms, 5, "time that a call takes, in milliseconds");
+DEFINE_int32(work_ms, 5, "duration of a call in milliseconds");
 
 namespace {
 
 using namespace hemlockglade;
 using nlohmann::json;
 
-/// Takes one from a fault's count.
-bool take(std::int64_t &n) { return n > 0 && n--; }
+/// Decrements a fault's count; returns whether the fault is to be injected.
+bool consume(std::int64_t &n) { return n > 0 && n--; }
 
-/// One call that is being worked on.
+/// One call in progress.
 struct Call {
   std::uint64_t Run = 0;
   std::string Tag;
@@ -40,14 +41,14 @@
       return control(in, *reply);
     if (in.Path == "/healthz")
       return reply->sendWhole(200, {}, "ok\n");
-    if (take(CutBefore)) {
+    if (consume(CutBefore)) {
       Host.record({{"event", "cut_before"}});
       return reply->abort();
     }
     auto body = json::parse(in.Body, nullptr, false);
     auto call = std::make_shared<Call>();
     call->Tag = body.is_object() ? body.value("user", "") : "";
-    if (take(Refuse)) {
+    if (consume(Refuse)) {
       Host.record({{"event", "refused"}, {"tag", call->Tag}});
       return reply->sendWhole(503,
                               {{std::string(header::Outcome),
@@ -55,7 +56,7 @@
                               errorBody("refused", "not now"));
     }
     call->Run = ++LastRun;
-    call->Cut = take(CutAfter);
+    call->Cut = consume(CutAfter);
     call->Reply = reply;
     call->Answer =
         json{{"service", FLAGS_name}, {"path", in.Path}, {"echo", in.Body}}
@@ -82,7 +83,8 @@
     reply.sendWhole(200, {}, "ok\n");
   }
 
-  /// A call that has begun is run to its end, whether or not its caller stays.
+  /// Ends a call. A call that was started always runs to its end, even if its
+  /// caller disconnects.
   void end(Call &call) {
     Host.record({{"event", call.Cut    ? "cut"
                            : call.Gone ? "cancelled"
