--- a/Bench/Failover/failover_benchMain.cpp
+++ b/Bench/Failover/failover_benchMain.cpp
@@ -1,7 +1,7 @@
-// A steady stream of short completions at a fixed rate, whatever the answers
-// are, with a line for each of them: when it was sent and when it ended in
-// microseconds of the wall clock, where it went, outcome, status and reason.
-// Ends after --requests or at SIGTERM, once what was sent has been answered.
+// Sends short completions at a fixed rate, independently of the answers, and
+// logs one line for each: when it was sent and when it ended, in microseconds
+// of the wall clock, its outcome, status and reason, the node and the adapter.
+// Ends after --requests or at SIGTERM, once all sent requests are answered.
 
 #include "Hemlockglade/Transport/Transport.h"
 
@@ -17,17 +17,20 @@
 
 INITIALIZE_EASYLOGGINGPP
 
-DEFINE_string(nodes_file, "", "file with a node's ip:port in each line");
+DEFINE_string(nodes_file, "", "file with the ip:port of one node in each line");
 DEFINE_string(log, "", "file to write a line for each request to");
-DEFINE_string(models, "", "adapters to ask for in turn: a@1,b");
-DEFINE_double(rate, 50, "requests a second");
-DEFINE_int64(requests, 100000, "requests after which it ends");
-DEFINE_int64(deadline_ms, 20000, "deadline of each request");
+DEFINE_string(models, "", "adapters to request in turn: a@1,b");
+DEFINE_double(rate, 50, "requests per second");
+DEFINE_int64(requests, 100000,
+             "number of requests after which the program ends");
+DEFINE_int64(deadline_ms, 20000, "deadline of each request, in milliseconds");
 DEFINE_int64(tokens, 4, "tokens of an answer");
-DEFINE_int64(keyed_every, 0, "each Nth request must not run twice; 0: none");
+DEFINE_int64(keyed_every, 0,
+             "every Nth request has an idempotency key and must not run "
+             "twice; 0: none");
 DEFINE_int32(directory_callers, 0,
-             "callers that ask the directory and keep its answer; 0 sends to "
-             "the nodes of the file in turn");
+             "number of simulated callers, each of which queries the directory "
+             "and caches its answer; 0 sends to the nodes of the file in turn");
 
 namespace {
 
@@ -57,20 +60,20 @@
   return split(std::ifstream(FLAGS_nodes_file), '\n');
 }
 
-/// What a caller remembers of the directory.
-struct KeptAddresses {
+/// A caller's cached answer of the directory.
+struct CachedAddresses {
   std::vector<std::string> Addresses;
   Instant Until{};
 };
 
-/// One request and what came back.
-struct Sending {
+/// One request and its answer.
+struct PendingRequest {
   std::int64_t Number = 0;
   std::int64_t SentUs = 0;
   Instant Deadline{};
   std::string Model;
   std::size_t Caller = 0;
-  /// Addresses that are still to be tried, the next one first.
+  /// Addresses not yet used for an attempt, in order.
   std::vector<std::string> Addresses;
   std::string To;
   int Status = 0;
@@ -83,14 +86,14 @@
   explicit Stream(asio::io_context &context)
       : Context(context), Timers(context), Client(context), Log(FLAGS_log),
         Models(split(std::istringstream(FLAGS_models), ',')),
-        Kept(static_cast<std::size_t>(FLAGS_directory_callers)) {
+        Cached(static_cast<std::size_t>(FLAGS_directory_callers)) {
     auto period = static_cast<std::int64_t>(MicrosPerSecond / FLAGS_rate);
-    Step = Timers.every(Span(period), [this](Instant) { next(); });
+    SendTimer = Timers.every(Span(period), [this](Instant) { next(); });
   }
 
-  /// Sends nothing more and ends once all is answered.
+  /// Stops sending, and stops the program once all requests are answered.
   void finish() {
-    Step.reset();
+    SendTimer.reset();
     Finishing = true;
     endIfDone();
   }
@@ -98,136 +101,137 @@
   const std::map<std::string, int> &counts() const { return Counts; }
 
 private:
-  using Shared = std::shared_ptr<Sending>;
+  using Shared = std::shared_ptr<PendingRequest>;
 
   void next() {
     if (Finishing)
       return;
-    auto sending = std::make_shared<Sending>();
-    sending->Number = ++Placed;
-    sending->SentUs = wallUs();
-    sending->Deadline =
+    auto pending = std::make_shared<PendingRequest>();
+    pending->Number = ++Started;
+    pending->SentUs = wallUs();
+    pending->Deadline =
         TimerService::now() + std::chrono::milliseconds(FLAGS_deadline_ms);
-    auto n = static_cast<std::size_t>(sending->Number);
-    sending->Model = Models[n % Models.size()];
+    auto n = static_cast<std::size_t>(pending->Number);
+    pending->Model = Models[n % Models.size()];
     ++Running;
-    if (Kept.empty()) {
+    if (Cached.empty()) {
       auto all = nodes();
-      sending->Addresses = {all[n % all.size()]};
-      send(sending);
+      pending->Addresses = {all[n % all.size()]};
+      send(pending);
     } else {
-      sending->Caller = n % Kept.size();
-      find(sending, n);
+      pending->Caller = n % Cached.size();
+      find(pending, n);
     }
-    if (Placed >= FLAGS_requests)
+    if (Started >= FLAGS_requests)
       finish();
   }
 
-  /// Takes the addresses that the caller keeps, or asks for them.
-  void find(const Shared &sending, std::size_t turn) {
-    auto &kept = Kept[sending->Caller];
-    if (TimerService::now() < kept.Until && !kept.Addresses.empty()) {
-      sending->Addresses = kept.Addresses;
-      return send(sending);
+  /// Uses the caller's cached addresses, or queries the directory for them,
+  /// retrying at the next node until the deadline.
+  void find(const Shared &pending, std::size_t nodeIndex) {
+    auto &cached = Cached[pending->Caller];
+    if (TimerService::now() < cached.Until && !cached.Addresses.empty()) {
+      pending->Addresses = cached.Addresses;
+      return send(pending);
     }
-    if (TimerService::now() > sending->Deadline)
-      return end(sending, "not-run", "no-directory");
+    if (TimerService::now() > pending->Deadline)
+      return end(pending, "not-run", "no-directory");
     auto all = nodes();
     HttpRequest request;
-    request.Url = "http://" + all[turn % all.size()] +
-                  "/directory?model=" + urlEncode(sending->Model);
+    request.Url = "http://" + all[nodeIndex % all.size()] +
+                  "/directory?model=" + urlEncode(pending->Model);
     request.Timeout = DirectoryTimeout;
     auto asked = TimerService::now();
-    Client.fetch(request,
-                 [this, sending, turn, asked](const HttpResult &result,
-                                              const std::string &body) {
-                   if (result.Whole && result.Status == 200) {
-                     take(Kept[sending->Caller], asked, body);
-                     return find(sending, turn);
-                   }
-                   Timers.after(DirectoryRetry, [this, sending, turn](Instant) {
-                     find(sending, turn + 1);
-                   });
-                 });
+    Client.fetch(
+        request, [this, pending, nodeIndex, asked](const HttpResult &result,
+                                                   const std::string &body) {
+          if (result.Whole && result.Status == 200) {
+            cacheAnswer(Cached[pending->Caller], asked, body);
+            return find(pending, nodeIndex);
+          }
+          Timers.after(DirectoryRetry, [this, pending, nodeIndex](Instant) {
+            find(pending, nodeIndex + 1);
+          });
+        });
   }
 
-  static void take(KeptAddresses &kept, Instant asked,
-                   const std::string &body) {
+  static void cacheAnswer(CachedAddresses &cached, Instant asked,
+                          const std::string &body) {
     auto node = json::parse(body, nullptr, false);
     if (!node.is_object())
       return;
     auto ttl = std::chrono::duration<double>(node.value("ttl_s", 0.0));
-    kept.Addresses =
+    cached.Addresses =
         node.value("addresses", json::array()).get<std::vector<std::string>>();
-    kept.Until = asked + std::chrono::duration_cast<Span>(ttl);
+    cached.Until = asked + std::chrono::duration_cast<Span>(ttl);
   }
 
-  HttpRequest request(const Sending &sending) const {
+  HttpRequest request(const PendingRequest &pending) const {
     HttpRequest out;
     out.Method = "POST";
-    out.Url = "http://" + sending.To + "/v1/completions";
-    out.Timeout = sending.Deadline - TimerService::now() + AnswerMargin;
+    out.Url = "http://" + pending.To + "/v1/completions";
+    out.Timeout = pending.Deadline - TimerService::now() + AnswerMargin;
     out.Fields = {{"Content-Type", "application/json"},
                   {"X-Deadline-Ms", std::to_string(FLAGS_deadline_ms)}};
-    if (FLAGS_keyed_every && sending.Number % FLAGS_keyed_every == 0) {
+    if (FLAGS_keyed_every && pending.Number % FLAGS_keyed_every == 0) {
       out.Fields.emplace_back(header::IdempotencyKey,
-                              "bench-" + std::to_string(sending.SentUs));
+                              "bench-" + std::to_string(pending.SentUs));
       out.Fields.emplace_back(header::Repeatable, "no");
       out.FreshConnection = true;
     }
-    out.Body = json{{"model", sending.Model},
+    out.Body = json{{"model", pending.Model},
                     {"prompt", "which papers do I need"},
                     {"max_tokens", FLAGS_tokens}}
                    .dump();
     return out;
   }
 
-  void send(const Shared &sending) {
-    sending->To = sending->Addresses.front();
-    sending->Addresses.erase(sending->Addresses.begin());
+  void send(const Shared &pending) {
+    pending->To = pending->Addresses.front();
+    pending->Addresses.erase(pending->Addresses.begin());
     HttpHooks hooks;
-    hooks.OnHead = [sending](int status, const HttpFields &fields) {
-      sending->Status = status;
+    hooks.OnHead = [pending](int status, const HttpFields &fields) {
+      pending->Status = status;
       for (const auto &[name, value] : fields) {
         if (strcasecmp(name.c_str(), header::Outcome.data()) == 0)
-          sending->Outcome = value;
+          pending->Outcome = value;
       }
     };
-    hooks.OnPart = [sending](std::string_view part) {
-      sending->Body.append(part);
+    hooks.OnPart = [pending](std::string_view part) {
+      pending->Body.append(part);
       return true;
     };
-    hooks.OnDone = [this, sending](const HttpResult &result) {
-      answered(sending, result);
+    hooks.OnDone = [this, pending](const HttpResult &result) {
+      answered(pending, result);
     };
-    Client.start(request(*sending), std::move(hooks));
+    Client.start(request(*pending), std::move(hooks));
   }
 
-  void answered(const Shared &sending, const HttpResult &result) {
+  void answered(const Shared &pending, const HttpResult &result) {
     bool reached = result.Whole || result.MayHaveSent;
-    if (!reached && !sending->Addresses.empty())
-      return send(sending);
+    if (!reached && !pending->Addresses.empty())
+      return send(pending);
     if (!reached)
-      return end(sending, "not-run", "not-connected");
+      return end(pending, "not-run", "not-connected");
     if (!result.Whole)
-      return end(sending, "cut", result.Error);
-    auto outcome = sending->Outcome.empty() ? "none" : sending->Outcome;
-    end(sending, outcome, outcome == "complete" ? "" : reasonOf(*sending));
+      return end(pending, "cut", result.Error);
+    auto outcome = pending->Outcome.empty() ? "none" : pending->Outcome;
+    end(pending, outcome, outcome == "complete" ? "" : reasonOf(*pending));
   }
 
-  static std::string reasonOf(const Sending &sending) {
-    auto node = json::parse(sending.Body, nullptr, false);
+  static std::string reasonOf(const PendingRequest &pending) {
+    auto node = json::parse(pending.Body, nullptr, false);
     if (!node.is_object() || !node["error"].is_object())
       return "-";
     return node["error"].value("message", "-");
   }
 
-  void end(const Shared &sending, const std::string &outcome,
+  void end(const Shared &pending, const std::string &outcome,
            std::string reason) {
     std::replace(reason.begin(), reason.end(), ' ', '_');
-    Log << sending->SentUs << ' ' << wallUs() << ' ' << outcome << ' '
-        << sending->Status << ' ' << (reason.empty() ? "-" : reason) << ' '
-        << (sending->To.empty() ? "-" : sending->To) << ' ' << sending->Model
+    Log << pending->SentUs << ' ' << wallUs() << ' ' << outcome << ' '
+        << pending->Status << ' ' << (reason.empty() ? "-" : reason) << ' '
+        << (pending->To.empty() ? "-" : pending->To) << ' ' << pending->Model
         << std::endl;
     ++Counts[outcome];
     --Running;
@@ -244,9 +248,9 @@
   HttpClient Client;
   std::ofstream Log;
   std::vector<std::string> Models;
-  std::vector<KeptAddresses> Kept;
-  TimerService::Subscription Step;
-  std::int64_t Placed = 0;
+  std::vector<CachedAddresses> Cached;
+  TimerService::Subscription SendTimer;
+  std::int64_t Started = 0;
   std::int64_t Running = 0;
   bool Finishing = false;
   std::map<std::string, int> Counts;
--- a/Bench/Membership/ConfigBench.cpp
+++ b/Bench/Membership/ConfigBench.cpp
@@ -17,7 +17,7 @@
   return {"adapter-" + std::to_string(number), "assistant", current, {current}};
 }
 
-/// Runs `work` `n` times; microseconds of each.
+/// Runs `work` `n` times and returns the mean time of a run in microseconds.
 template <typename Work> double micros(std::size_t n, Work work) {
   auto begin = std::chrono::steady_clock::now();
   for (std::size_t it = 0; it < n; ++it)
@@ -53,9 +53,10 @@
     store.apply(*decodeDelta(text));
   });
   auto last = store.current();
-  auto near = micros(10, [&](std::size_t) { first->changesTo(*last); });
-  auto apart = CatalogView::of(last->catalog());
-  auto far = micros(10, [&](std::size_t) { apart.changesTo(*last); });
+  auto sharedMicros = micros(10, [&](std::size_t) { first->changesTo(*last); });
+  auto rebuilt = CatalogView::of(last->catalog());
+  auto unsharedMicros =
+      micros(10, [&](std::size_t) { rebuilt.changesTo(*last); });
   std::size_t snapshotBytes = 0;
   auto snapshot = micros(1, [&](std::size_t) {
     for (std::size_t it = 0; it < CatalogView::PieceCount; ++it)
@@ -63,8 +64,8 @@
   });
   out << n << " | " << static_cast<double>(bytes) / static_cast<double>(n)
       << " | " << change << " | " << coded << " | " << text.size() << " | "
-      << near << " | " << far << " | " << whole / 1000 << " | "
-      << snapshot / 1000 << " | " << snapshotBytes << std::endl;
+      << sharedMicros << " | " << unsharedMicros << " | " << whole / 1000
+      << " | " << snapshot / 1000 << " | " << snapshotBytes << std::endl;
 }
 
 } // namespace
--- a/Bench/Membership/ConfigBench.h
+++ b/Bench/Membership/ConfigBench.h
@@ -4,8 +4,8 @@
 
 namespace hemlockglade::bench {
 
-/// Measures the configuration at several numbers of adapters and prints a
-/// table.
+/// Measures memory and processor time of the configuration at several numbers
+/// of adapters, and prints a table.
 void measureConfiguration(std::ostream &out);
 
 } // namespace hemlockglade::bench
--- a/Bench/Membership/membership_benchMain.cpp
+++ b/Bench/Membership/membership_benchMain.cpp
@@ -1,6 +1,7 @@
-// Measures the membership and the configuration at several sizes, with virtual
-// members in one process. Processor times include the fake network and the
-// packing and unpacking of every message, so they are upper bounds.
+// Measures the membership and the configuration at several sizes, with
+// simulated nodes in one process and in virtual time. Processor times include
+// the fake network and the packing and unpacking of every message, so they are
+// upper bounds.
 
 #include "Bench/Membership/ConfigBench.h"
 #include "Hemlockglade/Protocol/Protocol.h"
@@ -16,8 +17,9 @@
 
 DEFINE_uint64(max_nodes, 580, "largest number of virtual nodes");
 DEFINE_uint64(min_nodes, 3, "smallest number of virtual nodes");
-DEFINE_uint64(parted_seconds, 300, "virtual time for which regions are parted");
-DEFINE_bool(progress, false, "tells on the error output what is being done");
+DEFINE_uint64(parted_seconds, 300,
+              "virtual time for which the regions are partitioned, in seconds");
+DEFINE_bool(progress, false, "print the current step on the error output");
 DEFINE_uint64(seed, 20261, "seed of the random choices");
 
 using namespace hemlockglade;
@@ -27,8 +29,9 @@
 namespace {
 
 constexpr int MeasuredSeconds = 60;
-/// 33,000 changes of configuration a day, as one each so many seconds.
-constexpr int ChangeEvery = 3;
+/// Seconds between two changes of the configuration; about 33,000 changes a
+/// day.
+constexpr int ChangeIntervalS = 3;
 
 std::size_t regionsOf(std::size_t n) { return n <= 7 ? 1 : n <= 200 ? 3 : 6; }
 
@@ -49,8 +52,8 @@
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/// Packs and unpacks a message as the wire would; its size.
-std::size_t overTheWire(const MemberMessage &message) {
+/// Packs and unpacks a message as for the network; returns its size in bytes.
+std::size_t wireBytes(const MemberMessage &message) {
   auto bytes = pack(message);
   auto read = unpack<MemberMessage>(bytes);
   return read ? bytes.size() : 0;
@@ -68,17 +71,18 @@
   double RoundMicros = 0;
 };
 
-/// Lets a minute pass and gives what it cost per node and second.
+/// Runs a minute of virtual time, and returns the traffic and processor time
+/// per node and second.
 Load measureMinute(MemberWorld &world, bool changes) {
   for (auto &[name, node] : world.Nodes)
     node.Bytes = 0;
   auto before = processorSeconds();
   for (int it = 0; it < MeasuredSeconds; ++it) {
-    if (changes && it % ChangeEvery == 0)
+    if (changes && it % ChangeIntervalS == 0)
       ++world.Nodes[MemberWorld::name(world.Random() % world.Nodes.size())]
             .InForce;
     world.run(1s);
-    // Who heard of a revision has it in force a second later.
+    // A node has a revision in force one second after it received its number.
     for (auto &[name, node] : world.Nodes)
       node.InForce = std::max(node.InForce, world.Heard[name]);
   }
@@ -93,7 +97,7 @@
   return load;
 }
 
-/// Time until all others hold `state` of the node.
+/// Returns the time until all other nodes have the node in `state`.
 Span untilState(MemberWorld &world, const std::string &name,
                 MemberState state) {
   return world.until([&] {
@@ -116,7 +120,8 @@
   });
 }
 
-/// Longest of several times until a new revision was heard of everywhere.
+/// Measures several times how long a new revision takes to reach all nodes;
+/// returns the longest time.
 Span untilRevision(MemberWorld &world) {
   constexpr int Samples = 5;
   Span longest{};
@@ -140,14 +145,16 @@
   return longest;
 }
 
-/// Parts the regions for a while; time until all is whole again.
+/// Partitions the regions for --parted_seconds; returns the time from their
+/// reconnection until all nodes have complete membership again. Raises
+/// `maxBytes` to the largest rate at which a node sent meanwhile, in bytes/s.
 Span untilMerged(MemberWorld &world, std::size_t n, double &maxBytes) {
-  bool together = false;
+  bool connected = false;
   world.Joined = [&](const std::string &a, const std::string &b) {
-    return together || a == b;
+    return connected || a == b;
   };
   world.run(std::chrono::seconds(FLAGS_parted_seconds));
-  together = true;
+  connected = true;
   for (auto &[name, node] : world.Nodes)
     node.Bytes = 0;
   auto span = world.until([&] { return complete(world, n); });
@@ -160,7 +167,7 @@
 
 void benchMembers(std::size_t n) {
   MemberWorld world(FLAGS_seed);
-  world.SizeOf = overTheWire;
+  world.SizeOf = wireBytes;
   for (std::size_t it = 0; it < n; ++it)
     world.start(it, regionOf(it, n));
   auto gathered = world.until([&] { return complete(world, n); });
@@ -201,7 +208,7 @@
             << mergeBytes << std::endl;
 }
 
-/// Bytes of the heap for each member that a table holds.
+/// Returns the heap bytes per member of a table with `n` members.
 double bytesPerMember(std::size_t n) {
   auto before = mallinfo2().uordblks;
   MembershipSettings settings;
--- a/Bench/Path/LeanEngine.cpp
+++ b/Bench/Path/LeanEngine.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds TickSpan{1};
+constexpr std::chrono::milliseconds TickInterval{1};
 constexpr std::size_t TickUs = 1000;
 
 std::string wholeAnswer(const std::string &body) {
@@ -27,7 +27,7 @@
 
 } // namespace
 
-/// One connection and the answer that runs on it.
+/// One connection and the answer that is streamed on it.
 class LeanEngine::Session : public std::enable_shared_from_this<Session> {
 public:
   Session(asio::ip::tcp::socket socket, LeanEngine &engine)
@@ -41,16 +41,16 @@
         asio::buffer(Buffer),
         [self = shared_from_this()](asio::error_code ec, std::size_t n) {
           if (ec)
-            return self->shut();
+            return self->close();
           self->Incoming.append(self->Buffer.data(), n);
           self->serve();
           self->read();
         });
   }
 
-  /// Sends the next event; false if the answer is over.
+  /// Sends the next event; returns false if the answer has ended.
   bool step() {
-    if (Gone)
+    if (Closed)
       return false;
     if (Next == Tokens) {
       end();
@@ -71,13 +71,13 @@
 private:
   void end() {
     auto it = Engine.Resident.find(Model);
-    if (std::exchange(Runs, false) && it != Engine.Resident.end())
+    if (std::exchange(Streaming, false) && it != Engine.Resident.end())
       --it->second;
   }
 
-  void shut() {
+  void close() {
     end();
-    Gone = true;
+    Closed = true;
     asio::error_code ec;
     Socket.close(ec);
   }
@@ -123,7 +123,7 @@
     Interval = std::clamp<std::size_t>(Interval, 1, WheelSlots - 1);
     Next = 0;
     ++Engine.Resident[Model];
-    Runs = true;
+    Streaming = true;
     send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n");
     if (step())
@@ -138,18 +138,18 @@
     asio::error_code ec;
     auto n = Socket.send(asio::buffer(data), 0, ec);
     if (ec && ec != asio::error::would_block)
-      return shut();
+      return close();
     Outgoing = data.substr(ec ? 0 : n);
     flush();
   }
 
   void flush() {
-    if (Outgoing.empty() || Gone)
+    if (Outgoing.empty() || Closed)
       return;
     Socket.async_wait(asio::ip::tcp::socket::wait_write,
                       [self = shared_from_this()](asio::error_code ec) {
                         if (ec)
-                          return self->shut();
+                          return self->close();
                         self->send(std::exchange(self->Outgoing, {}));
                       });
   }
@@ -163,14 +163,14 @@
   std::size_t Next = 0;
   std::size_t Tokens = 0;
   std::size_t Interval = 1;
-  bool Gone = false;
-  bool Runs = false;
+  bool Closed = false;
+  bool Streaming = false;
 };
 
 LeanEngine::LeanEngine(asio::io_context &context)
     : Context(context),
       Acceptor(context, {asio::ip::make_address("127.0.0.1"), 0}),
-      Timer(context, TickSpan), Wheel(WheelSlots) {
+      Timer(context, TickInterval), Wheel(WheelSlots) {
   accept();
   tick();
 }
@@ -186,13 +186,13 @@
 }
 
 void LeanEngine::tick() {
-  Timer.expires_at(Timer.expiry() + TickSpan);
+  Timer.expires_at(Timer.expiry() + TickInterval);
   Timer.async_wait([this](asio::error_code ec) {
     if (ec)
       return;
     ++Tick;
-    auto due = std::exchange(Wheel[Tick % WheelSlots], {});
-    for (auto &session : due) {
+    auto dueSessions = std::exchange(Wheel[Tick % WheelSlots], {});
+    for (auto &session : dueSessions) {
       if (session->step())
         schedule(session, session->interval());
     }
--- a/Bench/Path/LeanEngine.h
+++ b/Bench/Path/LeanEngine.h
@@ -11,10 +11,11 @@
 
 namespace hemlockglade::bench {
 
-/// A cheap source of streamed completions for load: it takes any adapter and
-/// sends `max_tokens` events, `interval_us` apart as the request's body says.
-/// Each event carries the time it was sent, so that the receiver knows how
-/// long it was under way. One thread runs it.
+/// Engine for load tests that streams completions at little cost: it accepts
+/// any adapter and sends `max_tokens` events at intervals of `interval_us`,
+/// both from the request's body. Each event contains the time at which it was
+/// sent, so that the receiver can compute its delay. Not thread-safe: runs on
+/// one thread.
 class LeanEngine {
 public:
   explicit LeanEngine(asio::io_context &context);
@@ -35,7 +36,7 @@
   asio::ip::tcp::acceptor Acceptor;
   asio::steady_timer Timer;
   std::size_t Tick = 0;
-  /// Adapters that were loaded, and requests running on each.
+  /// Resident adapters, and the number of requests running on each.
   std::map<std::string, std::uint32_t> Resident;
   std::vector<std::vector<std::shared_ptr<Session>>> Wheel;
 };
--- a/Bench/Path/LoadClient.cpp
+++ b/Bench/Path/LoadClient.cpp
@@ -12,13 +12,14 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Loopback addresses that connections come from, in turn.
+/// Loopback addresses that connections are bound to, in turn: 127.0.0.2 and
+/// those that follow.
 constexpr std::uint32_t FirstCaller = 0x7f000002;
 constexpr std::uint32_t Callers = 32;
 
 std::int64_t nowNs() { return Clock::now().time_since_epoch().count(); }
 
-/// The number after `mark`, or -1.
+/// Returns the number after `mark` in the line, or -1 if there is none.
 std::int64_t numberAfter(std::string_view line, std::string_view mark) {
   auto at = line.find(mark);
   if (at == std::string_view::npos)
@@ -30,7 +31,7 @@
 
 } // namespace
 
-/// One kept connection to the target.
+/// A persistent connection to the target.
 class LoadClient::Connection : public std::enable_shared_from_this<Connection> {
 public:
   explicit Connection(LoadClient &client)
@@ -48,7 +49,8 @@
     Busy = true;
     if (Socket.is_open())
       return write();
-    // A node bounds the streams of one caller, which it knows by address.
+    // A node limits the streams of a caller, which it identifies by its
+    // address, so connections use several source addresses.
     asio::ip::address_v4 own(FirstCaller + Client.Connections++ % Callers);
     Socket.open(asio::ip::tcp::v4());
     Socket.bind({own, 0});
@@ -63,7 +65,7 @@
                          });
   }
 
-  void shut() {
+  void close() {
     asio::error_code ec;
     Socket.close(ec);
   }
@@ -86,14 +88,14 @@
           if (ec)
             return self->fail();
           self->ArrivedAt = nowNs();
-          self->Reader.take({self->Buffer.data(), n});
-          self->look();
+          self->Reader.consume({self->Buffer.data(), n});
+          self->checkState();
           if (self->Socket.is_open())
             self->read();
         });
   }
 
-  void look() {
+  void checkState() {
     if (Reader.state() == WireReader::State::Broken)
       return fail();
     if (Reader.state() != WireReader::State::Whole || !Busy)
@@ -117,9 +119,9 @@
                    static_cast<std::int64_t>(Events);
     if (inOrder)
       ++Events;
-    Client.Seen.fetch_add(1, std::memory_order_relaxed);
+    Client.EventCount.fetch_add(1, std::memory_order_relaxed);
     if (Events == 1)
-      Client.Result.First.push_back(
+      Client.Result.FirstEvent.push_back(
           static_cast<std::uint32_t>(ArrivedAt - SentAt));
     else
       Client.Result.Delay.push_back(
@@ -127,7 +129,7 @@
   }
 
   void fail() {
-    shut();
+    close();
     if (std::exchange(Busy, false))
       Client.count(false);
   }
@@ -146,13 +148,13 @@
 
 LoadClient::LoadClient(asio::io_context &context, const LoadTarget &target,
                        std::atomic<std::uint64_t> &seen)
-    : Context(context), Target(target), Seen(seen), Timer(context) {}
+    : Context(context), Target(target), EventCount(seen), Timer(context) {}
 
 LoadClient::~LoadClient() = default;
 
 void LoadClient::run(std::size_t count, std::chrono::nanoseconds gap,
                      std::chrono::nanoseconds phase) {
-  Left = count;
+  Unsent = count;
   Open += count;
   Gap = gap;
   Timer.expires_after(phase);
@@ -164,16 +166,16 @@
   if (--Open)
     return;
   for (auto &connection : std::exchange(Idle, {}))
-    connection->shut();
+    connection->close();
 }
 
 void LoadClient::sendNext() {
-  if (Left == 0)
+  if (Unsent == 0)
     return;
   Timer.async_wait([this](asio::error_code ec) {
     if (ec)
       return;
-    --Left;
+    --Unsent;
     std::shared_ptr<Connection> connection;
     while (!connection && !Idle.empty()) {
       connection = std::move(Idle.back());
@@ -181,7 +183,7 @@
     }
     if (!connection)
       connection = std::make_shared<Connection>(*this);
-    connection->send(Target.Bodies[Turn++ % Target.Bodies.size()]);
+    connection->send(Target.Bodies[NextBody++ % Target.Bodies.size()]);
     Timer.expires_at(Timer.expiry() + Gap);
     sendNext();
   });
--- a/Bench/Path/LoadClient.h
+++ b/Bench/Path/LoadClient.h
@@ -10,37 +10,38 @@
 
 namespace hemlockglade::bench {
 
-/// What is sent, and where to.
+/// The requests to send, and their destination.
 struct LoadTarget {
   std::string Name;
   asio::ip::tcp::endpoint Address;
-  /// Bodies that are sent in turn.
+  /// Request bodies, used in turn.
   std::vector<std::string> Bodies;
-  /// Events that a whole answer has.
+  /// Number of events of a whole answer.
   std::size_t Tokens = 0;
 };
 
-/// What came back. The times are in nanoseconds.
+/// Counts and times of the answers. Times are in nanoseconds.
 struct LoadResult {
   std::uint64_t Whole = 0;
   std::uint64_t Failed = 0;
   /// From the request's first byte to the first event.
-  std::vector<std::uint32_t> First;
-  /// How long each later event was under way from the engine.
+  std::vector<std::uint32_t> FirstEvent;
+  /// From the sending by the engine to the arrival, for each later event.
   std::vector<std::uint32_t> Delay;
 };
 
-/// Sends requests at an even rate whatever comes back, and checks that each
-/// answer is whole and its events are in order. One thread runs it.
+/// Sends requests at an even rate, independently of the answers, and checks
+/// that each answer is whole and its events are in order. Not thread-safe: runs
+/// on one thread.
 class LoadClient {
 public:
-  /// `seen` counts events as they arrive, for all clients.
+  /// `seen` counts the events that arrive, over all clients.
   LoadClient(asio::io_context &context, const LoadTarget &target,
              std::atomic<std::uint64_t> &seen);
   ~LoadClient();
 
-  /// Sends `count` requests, `gap` apart, the first after `phase`. The
-  /// connections are closed when all are answered.
+  /// Sends `count` requests at intervals of `gap`, the first after `phase`.
+  /// Closes the connections when all are answered.
   void run(std::size_t count, std::chrono::nanoseconds gap,
            std::chrono::nanoseconds phase);
 
@@ -54,12 +55,12 @@
 
   asio::io_context &Context;
   const LoadTarget &Target;
-  std::atomic<std::uint64_t> &Seen;
+  std::atomic<std::uint64_t> &EventCount;
   asio::steady_timer Timer;
-  std::size_t Left = 0;
+  std::size_t Unsent = 0;
   std::size_t Open = 0;
   std::uint32_t Connections = 0;
-  std::size_t Turn = 0;
+  std::size_t NextBody = 0;
   std::chrono::nanoseconds Gap{};
   std::vector<std::shared_ptr<Connection>> Idle;
 };
--- a/Bench/Path/LoadRun.cpp
+++ b/Bench/Path/LoadRun.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds Grace{20};
+constexpr std::chrono::seconds GracePeriod{20};
 
 std::vector<double> processorOf(const std::vector<pid_t> &watched) {
   std::vector<double> out;
@@ -20,33 +20,34 @@
 void merge(LoadResult &into, const LoadResult &part) {
   into.Whole += part.Whole;
   into.Failed += part.Failed;
-  into.First.insert(into.First.end(), part.First.begin(), part.First.end());
+  into.FirstEvent.insert(into.FirstEvent.end(), part.FirstEvent.begin(),
+                         part.FirstEvent.end());
   into.Delay.insert(into.Delay.end(), part.Delay.begin(), part.Delay.end());
 }
 
-/// One thread's share of the load.
+/// Generates one thread's share of the load.
 std::vector<LoadResult> loadShare(const LoadPlan &plan,
                                   const std::vector<LoadTarget> &targets,
                                   std::size_t share,
-                                  std::chrono::nanoseconds life,
+                                  std::chrono::nanoseconds answerDuration,
                                   std::atomic<std::uint64_t> &seen) {
   asio::io_context context(1);
-  auto sending = life + plan.Window;
+  auto sending = answerDuration + plan.Window;
   std::chrono::nanoseconds gap(static_cast<std::int64_t>(
       1e9 * static_cast<double>(plan.Threads) / plan.Rate));
   auto count = static_cast<std::size_t>(sending / gap);
   std::vector<std::unique_ptr<LoadClient>> clients;
   for (std::size_t it = 0; it < targets.size(); ++it) {
     clients.push_back(std::make_unique<LoadClient>(context, targets[it], seen));
-    auto turn = share * targets.size() + it;
-    auto phase = gap * turn / (plan.Threads * targets.size());
+    auto clientIndex = share * targets.size() + it;
+    auto phase = gap * clientIndex / (plan.Threads * targets.size());
     clients.back()->run(count, gap, phase);
   }
-  context.run_for(sending + life + Grace);
+  context.run_for(sending + answerDuration + GracePeriod);
   std::vector<LoadResult> out;
   for (auto &client : clients) {
     out.push_back(std::move(client->Result));
-    // What has not come by now counts as failed.
+    // Requests without a whole answer by now count as failed.
     out.back().Failed = count - out.back().Whole;
   }
   return out;
@@ -59,14 +60,15 @@
                     const std::vector<pid_t> &watched) {
   LoadOutcome outcome;
   outcome.Targets.resize(targets.size());
-  std::chrono::nanoseconds life = plan.Interval * plan.Tokens;
+  std::chrono::nanoseconds answerDuration = plan.Interval * plan.Tokens;
   std::atomic<std::uint64_t> seen{0};
   std::vector<std::vector<LoadResult>> shares(plan.Threads);
   std::vector<std::thread> threads;
   for (std::size_t it = 0; it < plan.Threads; ++it)
-    threads.emplace_back(
-        [&, it] { shares[it] = loadShare(plan, targets, it, life, seen); });
-  std::this_thread::sleep_for(life);
+    threads.emplace_back([&, it] {
+      shares[it] = loadShare(plan, targets, it, answerDuration, seen);
+    });
+  std::this_thread::sleep_for(answerDuration);
   auto before = processorOf(watched);
   auto seenBefore = seen.load();
   auto from = std::chrono::steady_clock::now();
--- a/Bench/Path/NodeUsage.cpp
+++ b/Bench/Path/NodeUsage.cpp
@@ -15,7 +15,8 @@
   std::ifstream stat(folder + "/stat");
   if (!std::getline(stat, text))
     return usage;
-  // The program's name may hold spaces; the fields follow its bracket.
+  // The second field, the program's name in parentheses, may contain spaces
+  // and parentheses, so the fields are counted from the last `)`.
   std::istringstream fields(text.substr(text.rfind(')') + 1));
   std::string skipped;
   for (int it = 0; it < UserTimeField; ++it)
--- a/Bench/Path/NodeUsage.h
+++ b/Bench/Path/NodeUsage.h
@@ -5,15 +5,15 @@
 
 namespace hemlockglade::bench {
 
-/// What a process has used, as the kernel counts it.
+/// Processor time and memory of a process, as the kernel accounts for them.
 struct NodeUsage {
   /// User and system time, in seconds.
   double Processor = 0;
-  /// Resident set, in bytes.
+  /// Resident set size, in bytes.
   std::size_t Resident = 0;
 };
 
-/// Reads a process's usage; zeros if it is gone.
+/// Returns the usage of a process; zeros if it has ended.
 NodeUsage readUsage(pid_t pid);
 
 } // namespace hemlockglade::bench
--- a/Bench/Path/WireReader.cpp
+++ b/Bench/Path/WireReader.cpp
@@ -14,26 +14,26 @@
 } // namespace
 
 void WireReader::reset() {
-  Now = State::Head;
+  Current = State::Head;
   Head.clear();
   SizeLine.clear();
   Body.clear();
 }
 
-void WireReader::take(std::string_view data) {
-  while (!data.empty() && Now != State::Whole && Now != State::Broken) {
+void WireReader::consume(std::string_view data) {
+  while (!data.empty() && Current != State::Whole && Current != State::Broken) {
     std::size_t n = 0;
-    if (Now == State::Head)
-      n = takeHead(data);
-    else if (Now == State::Size)
-      n = takeSize(data);
+    if (Current == State::Head)
+      n = consumeHead(data);
+    else if (Current == State::Size)
+      n = consumeSize(data);
     else
-      n = takeData(data);
+      n = consumeData(data);
     data.remove_prefix(n);
   }
 }
 
-std::size_t WireReader::takeHead(std::string_view data) {
+std::size_t WireReader::consumeHead(std::string_view data) {
   auto before = Head.size();
   Head.append(data);
   auto from = before < HeadEnd.size() ? 0 : before - HeadEnd.size();
@@ -43,11 +43,11 @@
   auto used = end + HeadEnd.size() - before;
   Status = std::atoi(Head.c_str() + StatusAt);
   bool chunked = Head.find("chunked") != std::string::npos;
-  Now = chunked ? State::Size : State::Broken;
+  Current = chunked ? State::Size : State::Broken;
   return used;
 }
 
-std::size_t WireReader::takeSize(std::string_view data) {
+std::size_t WireReader::consumeSize(std::string_view data) {
   auto end = data.find('\n');
   SizeLine.append(data.substr(0, end));
   if (end == std::string_view::npos)
@@ -55,24 +55,25 @@
   std::size_t n = 0;
   std::from_chars(SizeLine.data(), SizeLine.data() + SizeLine.size(), n, 16);
   SizeLine.clear();
-  // The last chunk's line end is counted with it.
+  // Includes the line end that follows the chunk's data. The last chunk has
+  // no data but also ends with a line end.
   Left = n + LineEndBytes;
-  Now = n ? State::Data : State::DataEnd;
+  Current = n ? State::Data : State::DataEnd;
   return end + 1;
 }
 
-std::size_t WireReader::takeData(std::string_view data) {
+std::size_t WireReader::consumeData(std::string_view data) {
   auto n = std::min(Left, data.size());
   auto payload = Left > LineEndBytes ? Left - LineEndBytes : 0;
   Body.append(data.substr(0, std::min(n, payload)));
   Left -= n;
-  giveLines();
+  emitLines();
   if (Left == 0)
-    Now = Now == State::Data ? State::Size : State::Whole;
+    Current = Current == State::Data ? State::Size : State::Whole;
   return n;
 }
 
-void WireReader::giveLines() {
+void WireReader::emitLines() {
   std::string_view rest = Body;
   for (auto end = rest.find('\n'); end != std::string_view::npos;
        end = rest.find('\n')) {
--- a/Bench/Path/WireReader.h
+++ b/Bench/Path/WireReader.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade::bench {
 
-/// Reads one HTTP/1.1 answer with a chunked body, as its bytes arrive.
+/// Incremental parser of one HTTP/1.1 answer with a chunked body.
 class WireReader {
 public:
   enum class State : std::uint8_t { Head, Size, Data, DataEnd, Whole, Broken };
@@ -15,21 +15,21 @@
   /// Called for each line of the body, without its line feed.
   std::function<void(std::string_view line)> OnLine;
 
-  /// Takes in bytes; what follows a whole answer is dropped.
-  void take(std::string_view data);
-  /// Makes ready for the next answer.
+  /// Parses received bytes; those that follow a whole answer are ignored.
+  void consume(std::string_view data);
+  /// Resets the parser for the next answer.
   void reset();
 
-  State state() const { return Now; }
+  State state() const { return Current; }
   int status() const { return Status; }
 
 private:
-  std::size_t takeHead(std::string_view data);
-  std::size_t takeSize(std::string_view data);
-  std::size_t takeData(std::string_view data);
-  void giveLines();
+  std::size_t consumeHead(std::string_view data);
+  std::size_t consumeSize(std::string_view data);
+  std::size_t consumeData(std::string_view data);
+  void emitLines();
 
-  State Now = State::Head;
+  State Current = State::Head;
   int Status = 0;
   std::string Head;
   std::string SizeLine;
--- a/Bench/Path/path_benchMain.cpp
+++ b/Bench/Path/path_benchMain.cpp
@@ -1,7 +1,7 @@
-// Measures what the path through hemlockglade costs: streamed completions
-// through a node against the same ones sent to the engine directly, and the
-// processor time of the nodes at rising rates. As an engine (--engine) it is
-// the cheap source of events for such a run.
+// Measures the cost of the path through hemlockglade: the latency of streamed
+// completions through a node compared with that of the same ones sent to the
+// engine directly, and the processor time of the nodes at several rates. With
+// --engine it runs the engine that such a measurement uses.
 
 #include "LeanEngine.h"
 #include "LoadRun.h"
@@ -19,26 +19,32 @@
 
 INITIALIZE_EASYLOGGINGPP
 
-DEFINE_bool(engine, false, "be a cheap engine instead of a load program");
+DEFINE_bool(engine, false, "run as the engine instead of the load program");
 DEFINE_string(port_file, "", "file to write the engine's port to");
 DEFINE_string(owner, "", "ip:port of the node that owns the cell");
 DEFINE_string(entry, "", "ip:port of a node that does not own the cell");
 DEFINE_string(direct, "", "ip:port of an engine");
-DEFINE_string(pids, "", "process ids: the owner's, then the entry's");
-DEFINE_string(models, "", "adapters to ask for, name@version, by comma");
+DEFINE_string(pids, "",
+              "process ids of the owner and the entry, in this order");
+DEFINE_string(models, "",
+              "adapters to request, name@version, separated by commas");
 DEFINE_string(latency_rates, "25,75",
-              "requests a second and case for the latency table");
+              "requests per second and case for the latency table");
 DEFINE_string(rates, "50,100,155,200",
-              "requests a second for the processor table");
-DEFINE_int32(tokens, 277, "events of an answer");
-DEFINE_int32(interval_us, 20000, "time between two events");
-DEFINE_int32(window_ms, 5000, "how long to measure at each rate");
+              "requests per second for the processor table");
+DEFINE_int32(tokens, 277, "number of events of an answer");
+DEFINE_int32(interval_us, 20000,
+             "interval between two events, in microseconds");
+DEFINE_int32(window_ms, 5000,
+             "duration of the measurement at each rate, in milliseconds");
 DEFINE_string(memory_sizes, "",
               "numbers of requests and connections for the memory table");
 DEFINE_string(memory_what, "running",
-              "what the memory table holds: idle, running or waiting; nodes "
-              "that have held nothing else give the truest figures");
-DEFINE_string(waiting_model, "", "adapter of a replica that runs one request");
+              "kind of the memory table: idle, running or waiting; figures are "
+              "most accurate with nodes that have served nothing else");
+DEFINE_string(waiting_model, "",
+              "adapter of a replica that runs one request at a time, for the "
+              "waiting requests");
 DEFINE_int32(threads, 2, "threads of the load program");
 
 namespace {
@@ -86,8 +92,9 @@
   return n;
 }
 
-/// Engine, owner and entry loaded at once, so that they share the machine's
-/// state of the moment.
+/// Measures the latency through engine, owner and entry. All are loaded at the
+/// same time, so that varying load of the machine affects them alike. Returns
+/// the number of failed requests.
 std::uint64_t latencyTable(const std::vector<pid_t> &pids) {
   auto tokens = static_cast<std::size_t>(FLAGS_tokens);
   std::vector<LoadTarget> targets{
@@ -105,9 +112,10 @@
     std::array<double, 4> base{};
     for (std::size_t it = 0; it < targets.size(); ++it) {
       auto &result = outcome.Targets[it];
-      std::array<double, 4> now{
-          percentileUs(result.First, 0.5), percentileUs(result.First, 0.99),
-          percentileUs(result.Delay, 0.5), percentileUs(result.Delay, 0.99)};
+      std::array<double, 4> now{percentileUs(result.FirstEvent, 0.5),
+                                percentileUs(result.FirstEvent, 0.99),
+                                percentileUs(result.Delay, 0.5),
+                                percentileUs(result.Delay, 0.99)};
       if (it == 0)
         base = now;
       std::cout << "| " << targets[it].Name << " | " << rate << " | "
@@ -122,7 +130,8 @@
   return failed;
 }
 
-/// One case at one rate: what the two nodes used.
+/// Measures the processor time of both nodes for one case at one rate. Returns
+/// the number of failed requests.
 std::uint64_t processorRow(const std::string &name, const std::string &address,
                            double rate, std::size_t tokens,
                            const std::vector<pid_t> &pids) {
@@ -158,10 +167,11 @@
   return failed;
 }
 
-/// Runs the context until `done` holds, within a bound.
+/// Runs the context until `done` returns true or a timeout has passed; returns
+/// whether it did.
 bool runUntil(asio::io_context &context, const std::function<bool()> &done) {
-  constexpr auto Bound = std::chrono::seconds(10);
-  auto until = std::chrono::steady_clock::now() + Bound;
+  constexpr auto Timeout = std::chrono::seconds(10);
+  auto until = std::chrono::steady_clock::now() + Timeout;
   while (!done() && std::chrono::steady_clock::now() < until) {
     context.restart();
     context.run_one_until(until);
@@ -169,7 +179,8 @@
   return done();
 }
 
-/// One row: what the nodes hold for each of `count` things.
+/// Prints one row: the resident memory of the nodes, and its growth since
+/// `before` per each of `count` connections or requests.
 void memoryRow(const std::string &what, std::size_t count,
                const std::vector<pid_t> &pids,
                const std::vector<std::size_t> &before) {
@@ -191,7 +202,7 @@
   return out;
 }
 
-/// Opens connections through the entry and leaves them idle.
+/// Opens connections to the entry and leaves them idle.
 bool idleConnections(const std::vector<pid_t> &pids) {
   asio::io_context context(1);
   std::vector<asio::ip::tcp::socket> sockets;
@@ -207,8 +218,9 @@
   return true;
 }
 
-/// Adds requests through the entry that run, or wait if `waits`, until the
-/// numbers are reached; they are given up at the end.
+/// Sends requests through the entry that stay running, or waiting if `waits`,
+/// and prints a row at each of the sizes; the requests are abandoned at the
+/// end. Returns false if a size was not reached or a request failed.
 bool heldRequests(const std::vector<pid_t> &pids, const LoadTarget &to,
                   bool waits) {
   asio::io_context context(1);
