--- a/Bench/Capacity/CoreSlopes.cpp
+++ b/Bench/Capacity/CoreSlopes.cpp
@@ -10,11 +10,11 @@
 
 constexpr std::uint32_t Slots = 8;
 constexpr std::uint32_t Batch = 32;
-/// Adapters of the planned size for each replica.
+/// Adapters per replica in a deployment of the planned size.
 constexpr std::uint32_t AdaptersOfReplica = 4;
 constexpr int Decisions = 20000;
 
-/// Bytes that a core of that many things holds beyond an empty one.
+/// Returns the heap bytes of a core that `fill` has filled with `n` items.
 double bytesOf(std::size_t n,
                const std::function<void(ObedientCore &, std::size_t)> &fill) {
   auto before = heapBytes();
@@ -55,7 +55,8 @@
     core.request(1, true);
 }
 
-/// A cell with its share of the adapters, all asked for once.
+/// Fills a cell with replicas and their share of the adapters, each of which is
+/// requested once.
 void fillCell(ObedientCore &core, std::size_t replicas) {
   fillReplicas(core, replicas);
   auto adapters = static_cast<AdapterKey>(replicas * AdaptersOfReplica);
--- a/Bench/Capacity/HeapCount.h
+++ b/Bench/Capacity/HeapCount.h
@@ -2,11 +2,12 @@
 
 namespace hemlockglade::bench {
 
-/// Bytes that this program holds by `new`, with the allocator's rounding and
-/// its word of bookkeeping for each block.
+/// Returns the bytes that the program has allocated by `new` and not freed,
+/// including the allocator's rounding and its header word for each block.
 double heapBytes();
 
-/// Bytes that this program holds by `new` and by `malloc`.
+/// Returns the bytes that the program has allocated by `new` and `malloc` and
+/// not freed.
 double mallocBytes();
 
 } // namespace hemlockglade::bench
--- a/Bench/Capacity/MemberSlopes.cpp
+++ b/Bench/Capacity/MemberSlopes.cpp
@@ -15,8 +15,9 @@
 constexpr std::uint64_t Seed = 20261;
 constexpr std::size_t Regions = 6;
 constexpr std::size_t Domains = 23;
-/// 33,000 changes of configuration a day, as one each so many seconds.
-constexpr int ChangeEvery = 3;
+/// Seconds between two changes of the configuration; about 33,000 changes a
+/// day.
+constexpr int ChangeIntervalS = 3;
 const std::vector<std::size_t> TableSizes{100, 580, 2000};
 
 std::vector<MemberRecord> recordsOf(std::size_t n) {
@@ -79,8 +80,8 @@
   return sum >= Copies * n ? micros / Copies : 0;
 }
 
-/// Bytes that a node sends, and processor time of its round, over a minute
-/// with changes of the configuration.
+/// Measures the bytes that a node sends and the processor time of its rounds,
+/// over a minute with changes of the configuration.
 void measureRounds(std::ostream &out) {
   constexpr int Seconds = 60;
   Slope bytes{"membership, sent by a node, with changes",
@@ -107,7 +108,7 @@
     auto spent = microsOf(
         [&] {
           for (int it = 0; it < Seconds; ++it) {
-            if (it % ChangeEvery == 0)
+            if (it % ChangeIntervalS == 0)
               ++world.Nodes[MemberWorld::name(world.Random() % n)].InForce;
             world.run(1s);
             for (auto &[name, node] : world.Nodes)
--- a/Bench/Capacity/MessageSlopes.cpp
+++ b/Bench/Capacity/MessageSlopes.cpp
@@ -34,14 +34,15 @@
   return out;
 }
 
-/// Encodes and decodes the three messages of one admission.
+/// Encodes and decodes the three messages of one admission; returns their size
+/// in bytes, or 0 if one can't be decoded.
 std::size_t admission() {
-  auto asked = pack(admitRequest());
-  auto answered = pack(admitReply());
-  auto ended = pack(FinishNotice{1});
-  bool good = unpack<AdmitRequest>(asked) && unpack<AdmitReply>(answered) &&
-              unpack<FinishNotice>(ended);
-  return good ? asked.size() + answered.size() + ended.size() : 0;
+  auto request = pack(admitRequest());
+  auto reply = pack(admitReply());
+  auto notice = pack(FinishNotice{1});
+  bool isDecoded = unpack<AdmitRequest>(request) && unpack<AdmitReply>(reply) &&
+                   unpack<FinishNotice>(notice);
+  return isDecoded ? request.size() + reply.size() + notice.size() : 0;
 }
 
 std::vector<HostEntry> hostsOf(std::size_t n) {
@@ -81,7 +82,7 @@
   return out;
 }
 
-/// Microseconds of `n` calls.
+/// Returns the processor time of `n` calls in microseconds.
 template <typename Call> double microsOfMany(std::size_t n, Call call) {
   std::size_t sum = 0;
   auto micros = microsOf([&] {
--- a/Bench/Capacity/PeerSlopes.cpp
+++ b/Bench/Capacity/PeerSlopes.cpp
@@ -12,16 +12,16 @@
 
 constexpr std::size_t MessageBytes = 120;
 
-/// A node that is asked by others, all in this process.
+/// A node that receives streams from other nodes, all in this process.
 class PeerWorld {
 public:
   PeerWorld()
       : Server(Context, "127.0.0.1", 0, [this](const StreamPtr &stream) {
           Served.push_back(stream);
-          stream->OnMessage = [this](std::string_view) { ++Heard; };
+          stream->OnMessage = [this](std::string_view) { ++Received; };
         }) {}
 
-  /// Breaks all connections; to be called last.
+  /// Closes all connections. Nothing else may be called afterwards.
   void close() {
     for (auto &it : Clients)
       it->close();
@@ -31,7 +31,7 @@
     Context.run_for(std::chrono::milliseconds(50));
   }
 
-  /// Another node, with one stream that stays open.
+  /// Adds a node with one stream that stays open.
   void connect() {
     Clients.push_back(
         std::make_unique<PeerNet>(Context, "127.0.0.1", 0, nullptr));
@@ -42,18 +42,19 @@
                                  "/admit", std::string(MessageBytes, 'x'),
                                  {[](std::string_view) {}, [](bool) {}}));
   }
-  /// Runs until all that was opened has come; false if it doesn't.
-  bool settle() {
-    for (int it = 0; it < 1000 && Heard < Opened.size(); ++it)
+  /// Runs until the first message of every opened stream has arrived; returns
+  /// false if they don't arrive within a timeout.
+  bool waitForMessages() {
+    for (int it = 0; it < 1000 && Received < Opened.size(); ++it)
       Context.run_for(std::chrono::milliseconds(10));
-    return Heard == Opened.size();
+    return Received == Opened.size();
   }
   PeerNet &firstClient() { return *Clients.front(); }
 
 private:
   asio::io_context Context{1};
   std::vector<StreamPtr> Served;
-  std::size_t Heard = 0;
+  std::size_t Received = 0;
   PeerNet Server;
   std::vector<std::unique_ptr<PeerNet>> Clients;
   std::vector<StreamPtr> Opened;
@@ -62,11 +63,11 @@
 double connectionBytes(std::size_t n) {
   PeerWorld world;
   world.connect();
-  world.settle();
+  world.waitForMessages();
   auto before = mallocBytes();
   for (std::size_t it = 0; it < n; ++it)
     world.connect();
-  auto bytes = world.settle() ? mallocBytes() - before : 0;
+  auto bytes = world.waitForMessages() ? mallocBytes() - before : 0;
   world.close();
   return bytes;
 }
@@ -74,11 +75,11 @@
 double streamBytes(std::size_t n) {
   PeerWorld world;
   world.connect();
-  world.settle();
+  world.waitForMessages();
   auto before = mallocBytes();
   for (std::size_t it = 0; it < n; ++it)
     world.open(world.firstClient());
-  auto bytes = world.settle() ? mallocBytes() - before : 0;
+  auto bytes = world.waitForMessages() ? mallocBytes() - before : 0;
   world.close();
   return bytes;
 }
@@ -89,7 +90,7 @@
     world.connect();
     for (std::size_t it = 0; it < n; ++it)
       world.open(world.firstClient());
-    world.settle();
+    world.waitForMessages();
     world.close();
   });
 }
--- a/Bench/Capacity/Slope.cpp
+++ b/Bench/Capacity/Slope.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Processor time of this thread, which waits of others don't lengthen.
+/// Returns the processor time of this thread in microseconds, which doesn't
+/// include waiting for other threads.
 double threadMicros() {
   timespec now{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
@@ -39,8 +40,8 @@
   out.Base = y - out.PerSize * x;
   double squares = 0;
   for (const auto &it : points) {
-    auto rest = it.Value - out.Base - out.PerSize * it.Size;
-    squares += rest * rest / n;
+    auto residual = it.Value - out.Base - out.PerSize * it.Size;
+    squares += residual * residual / n;
   }
   out.Residual = y != 0 ? std::sqrt(squares) / std::abs(y) : 0;
   return out;
@@ -52,12 +53,12 @@
   std::getline(in, out.What, '|');
   std::getline(in, out.Unit, '|');
   std::getline(in, out.By, '|');
-  char mark = 0;
+  char separator = 0;
   Point point;
-  in >> out.Planned >> mark;
-  while (in >> point.Size >> mark >> point.Value) {
+  in >> out.Planned >> separator;
+  while (in >> point.Size >> separator >> point.Value) {
     out.Points.push_back(point);
-    in >> mark;
+    in >> separator;
   }
   return out;
 }
@@ -91,14 +92,14 @@
   print(out, slope);
 }
 
-double microsOf(const std::function<void()> &call, int tries) {
-  double least = std::numeric_limits<double>::max();
-  for (int it = 0; it < tries; ++it) {
+double microsOf(const std::function<void()> &call, int runs) {
+  double minMicros = std::numeric_limits<double>::max();
+  for (int it = 0; it < runs; ++it) {
     auto before = threadMicros();
     call();
-    least = std::min(least, threadMicros() - before);
+    minMicros = std::min(minMicros, threadMicros() - before);
   }
-  return least;
+  return minMicros;
 }
 
 } // namespace hemlockglade::bench
--- a/Bench/Capacity/Slope.h
+++ b/Bench/Capacity/Slope.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade::bench {
 
-/// One measurement at one size.
+/// A measurement at one size.
 struct Point {
   double Size = 0;
   double Value = 0;
@@ -15,12 +15,12 @@
 
 /// A quantity measured at several sizes.
 struct Slope {
-  /// What was measured, and its unit.
+  /// Name of the measured quantity; `Unit` is its unit.
   std::string What;
   std::string Unit;
-  /// What the sizes count.
+  /// The things that the sizes count.
   std::string By;
-  /// The size that the page asks about; 0 if only the slope counts.
+  /// The size to extrapolate to; 0 if only the slope is of interest.
   double Planned = 0;
   std::vector<Point> Points;
 };
@@ -29,16 +29,17 @@
 struct Fit {
   double Base = 0;
   double PerSize = 0;
-  /// Root mean square of the residuals, as a part of the mean value.
+  /// Root mean square of the residuals, as a fraction of the mean value.
   double Residual = 0;
 };
 
 Fit fit(const std::vector<Point> &points);
 
-/// Reads `what|unit|by|planned|size:value,size:value`, as a script gives it.
+/// Parses `what|unit|by|planned|size:value,size:value`, the format that scripts
+/// pass.
 Slope readSlope(const std::string &text);
 
-/// Prints the head of the table, and one slope as a row of it.
+/// Print the header of the table, and one slope with its fit as a row of it.
 void printHead(std::ostream &out);
 void print(std::ostream &out, const Slope &slope);
 
@@ -47,8 +48,8 @@
                   const std::vector<std::size_t> &sizes,
                   const std::function<double(std::size_t)> &value);
 
-/// Microseconds that a call takes, the least of a few tries: others use the
-/// machine too.
-double microsOf(const std::function<void()> &call, int tries = 3);
+/// Returns the processor time of a call in microseconds, as the minimum of a
+/// few runs, since other load of the machine makes single runs slower.
+double microsOf(const std::function<void()> &call, int runs = 3);
 
 } // namespace hemlockglade::bench
--- a/Bench/Capacity/StateSlopes.cpp
+++ b/Bench/Capacity/StateSlopes.cpp
@@ -73,8 +73,8 @@
          Changes;
 }
 
-/// What CellRunner::configure does for each replica of the view to find its
-/// own, for one owned cell.
+/// Returns the time in which CellRunner::configure finds the replicas of one
+/// owned cell among all replicas of the view.
 double findOwnMicros(std::size_t n) {
   auto view = viewOf(n, &replica);
   auto cell = cellName(serviceName(0), 0);
--- a/Bench/Capacity/TableSlopes.cpp
+++ b/Bench/Capacity/TableSlopes.cpp
@@ -13,17 +13,17 @@
 
 constexpr int RunningMs = 20;
 
-/// A claim book on a table in memory.
-struct BookWorld {
+/// A claim store with a table in memory, in virtual time.
+struct ClaimWorld {
   VirtualTime Time;
   FakeTable Table{Time, 1};
-  std::shared_ptr<ClaimStore> Book;
+  std::shared_ptr<ClaimStore> Store;
 
-  explicit BookWorld(Span window) {
+  explicit ClaimWorld(Span window) {
     ClaimSettings settings;
     settings.Group.Window = window;
-    Book = std::make_shared<ClaimStore>(settings, "entry-1", Table.hooks(),
-                                        hooks());
+    Store = std::make_shared<ClaimStore>(settings, "entry-1", Table.hooks(),
+                                         hooks());
   }
 
   ClaimHooks hooks() {
@@ -37,21 +37,22 @@
 
   void claim(std::size_t number) {
     auto key = std::to_string(number);
-    Book->claim(
+    Store->claim(
         {"labels", key, "body", key}, [this](const ClaimAnswer &answer) {
           if (answer.Result != ClaimResult::Claimed)
             return;
           Time.after(std::chrono::milliseconds(RunningMs), [this, answer] {
-            Book->record(answer.Ticket, Outcome::Complete);
+            Store->record(answer.Ticket, Outcome::Complete);
           });
         });
   }
 };
 
-/// Transactions a second of one book for claims with their outcomes.
+/// Returns the transactions per second of one claim store that claims keys and
+/// records their outcomes at the given rate.
 double claimWrites(Span window, std::size_t perSecond) {
   constexpr std::size_t Seconds = 20;
-  BookWorld world(window);
+  ClaimWorld world(window);
   Span pause(static_cast<std::int64_t>(1e6 / static_cast<double>(perSecond)));
   for (std::size_t it = 0; it < perSecond * Seconds; ++it) {
     world.claim(it);
@@ -61,10 +62,11 @@
   return static_cast<double>(world.Table.Writes) / Seconds;
 }
 
-/// The fake table's own work is in it.
+/// Returns the processor time of `n` claims with their outcomes, including that
+/// of the fake table.
 double claimMicros(std::size_t n) {
   return microsOf([n] {
-    BookWorld world(2ms);
+    ClaimWorld world(2ms);
     for (std::size_t it = 0; it < n; ++it) {
       world.claim(it);
       world.Time.advance(500us);
@@ -74,7 +76,7 @@
 }
 
 double claimsInFlightBytes(std::size_t n) {
-  BookWorld world(2ms);
+  ClaimWorld world(2ms);
   std::vector<TableCallback<std::uint64_t>> held;
   auto table = world.Table.hooks();
   table.Commit = [&held](const TableTransaction &,
@@ -83,17 +85,17 @@
   };
   held.reserve(n);
   auto before = heapBytes();
-  auto book = std::make_shared<ClaimStore>(ClaimSettings{}, "entry-1", table,
-                                           world.hooks());
+  auto claimStore = std::make_shared<ClaimStore>(ClaimSettings{}, "entry-1",
+                                                 table, world.hooks());
   for (std::size_t it = 0; it < n; ++it) {
     auto key = std::to_string(it);
-    book->claim({"labels", key, "body", key}, [](const ClaimAnswer &) {});
+    claimStore->claim({"labels", key, "body", key}, [](const ClaimAnswer &) {});
   }
   return heapBytes() - before;
 }
 
-/// Processor time of one round of one keeper beside the rows of others; the
-/// fake table's copies of the rows are in it.
+/// Returns the processor time of one round of a lease manager with `n` rows of
+/// other nodes and of cells, including the fake table's copies of the rows.
 double leaseRoundMicros(std::size_t n, Span scanEvery) {
   constexpr int Rounds = 10;
   VirtualTime time;
@@ -119,20 +121,20 @@
   hooks.OnOwned = [](const std::string &, Epoch) {};
   hooks.OnLost = [](const std::string &) {};
   NodeRecord self{"entry-x", "incarnation-x", "c", "p", "hall-a"};
-  auto keeper =
+  auto manager =
       std::make_shared<LeaseManager>(settings, self, table.hooks(), hooks);
-  keeper->round(cells);
+  manager->round(cells);
   time.advance(100ms);
   return microsOf([&] {
            for (int it = 0; it < Rounds; ++it) {
-             keeper->round(cells);
+             manager->round(cells);
              time.advance(100ms);
            }
          }) /
          Rounds;
 }
 
-FigureSetup gossiping(std::size_t nodes, std::size_t cells) {
+FigureSetup gossipSetup(std::size_t nodes, std::size_t cells) {
   FigureSetup setup;
   setup.Gossip = true;
   setup.Round = 1s;
@@ -153,7 +155,7 @@
   auto rows = reads;
   rows.Unit = "rows read/s";
   for (std::size_t n : {10, 25, 50, 100}) {
-    FigureFleet fleet(1, gossiping(n, n));
+    FigureFleet fleet(1, gossipSetup(n, n));
     auto figures = fleet.measure(120s);
     auto size = static_cast<double>(n);
     reads.Points.push_back({size, figures.Reads / figures.Seconds});
@@ -171,7 +173,7 @@
   auto writes = reads;
   writes.Unit = "writes";
   for (std::size_t cells : {10, 40, 80, 160}) {
-    FigureFleet fleet(2, gossiping(Nodes, cells));
+    FigureFleet fleet(2, gossipSetup(Nodes, cells));
     auto figures = fleet.measureFailover(Departure::Killed);
     auto lost = static_cast<double>(fleet.CellsLost);
     reads.Points.push_back({lost, figures.Reads});
--- a/Bench/Capacity/capacity_benchMain.cpp
+++ b/Bench/Capacity/capacity_benchMain.cpp
@@ -1,6 +1,6 @@
-// Measures how memory, processor time, table operations and bytes grow with
-// what a deployment has, and prints each slope with its fit. The page
-// docs/CAPACITY.md is worked out from this table.
+// Measures how memory, processor time, table operations and bytes grow with the
+// size of a deployment, and prints each slope with its fit. The figures of
+// docs/CAPACITY.md are derived from this table.
 
 #include "Slope.h"
 #include "Slopes.h"
@@ -12,7 +12,7 @@
 INITIALIZE_EASYLOGGINGPP
 
 DEFINE_string(fit, "",
-              "print one row for what|unit|by|planned|size:value,... instead");
+              "only print the row for what|unit|by|planned|size:value,...");
 
 using namespace hemlockglade::bench;
 
