--- a/Bench/Core/Baselines/FaultyPolicy.cpp
+++ b/Bench/Core/Baselines/FaultyPolicy.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Every how many admissions each fault comes.
-constexpr std::uint64_t DoubledEvery = 101;
-constexpr std::uint64_t ForgottenEvery = 211;
-constexpr std::uint64_t MisplacedEvery = 307;
-constexpr std::uint64_t EvictedEvery = 401;
+/// Number of admissions between two faults of each kind.
+constexpr std::uint64_t DoubledInterval = 101;
+constexpr std::uint64_t ForgottenInterval = 211;
+constexpr std::uint64_t MisplacedInterval = 307;
+constexpr std::uint64_t EvictedInterval = 401;
 
 class Faulty {
 public:
@@ -23,9 +23,9 @@
       Adapters[it->Request] = it->Adapter;
     if (const auto *it = std::get_if<ReplicaAdded>(&event))
       Replicas = std::max(Replicas, it->Replica);
-    std::vector<Action> meant;
-    Inner(event, now, meant);
-    for (const auto &action : meant) {
+    std::vector<Action> intended;
+    Inner(event, now, intended);
+    for (const auto &action : intended) {
       if (const auto *it = std::get_if<Admit>(&action))
         admit(*it, out);
       else
@@ -36,14 +36,14 @@
 private:
   void admit(Admit action, std::vector<Action> &out) {
     ++Admitted;
-    if (Admitted % ForgottenEvery == 0)
+    if (Admitted % ForgottenInterval == 0)
       return;
-    if (Admitted % MisplacedEvery == 0)
+    if (Admitted % MisplacedInterval == 0)
       action.Replica = action.Replica % Replicas + 1;
     out.push_back(action);
-    if (Admitted % DoubledEvery == 0)
+    if (Admitted % DoubledInterval == 0)
       out.push_back(action);
-    if (Admitted % EvictedEvery == 0)
+    if (Admitted % EvictedInterval == 0)
       out.push_back(Evict{action.Replica, Adapters[action.Request]});
   }
 
--- a/Bench/Core/Baselines/FaultyPolicy.h
+++ b/Bench/Core/Baselines/FaultyPolicy.h
@@ -4,10 +4,10 @@
 
 namespace hemlockglade::bench {
 
-/// Wraps a policy and breaks each promise now and then: it admits twice,
-/// forgets to answer, sends requests to a replica without their adapter, and
-/// evicts what is serving. The check of the bounds runs it to show that the
-/// bench notices.
+/// Wraps a policy and injects faults at regular intervals: it admits a request
+/// twice, doesn't answer one, admits one to a replica without its adapter, and
+/// evicts an adapter with running requests. The check of the bounds runs it to
+/// prove that the bench detects such faults.
 Policy makeFaulty(Policy policy);
 
 } // namespace hemlockglade::bench
--- a/Bench/Core/Baselines/Foresight.cpp
+++ b/Bench/Core/Baselines/Foresight.cpp
@@ -12,17 +12,18 @@
 
 namespace {
 
-/// Sessions whose last request is this many gaps past are taken as ended.
+/// Sessions without a request for this many mean gaps are assumed to have
+/// ended.
 constexpr double GapsToEnd = 6;
 
-/// The demand as the scenario's own process makes it.
+/// The expected demand by the random process that generates the trace.
 class TrueDemand {
 public:
   TrueDemand(const Workload &workload, const Trace &trace)
       : Work(workload), Requests(trace), Shares(workload.Adapters + 1),
         Uses(workload.Adapters + 1) {
     std::unordered_map<CallerKey, Use *> last;
-    // Never grown again, so that the pointers above stay valid.
+    // Reserved in advance, so that the pointers in `last` stay valid.
     std::vector<std::size_t> counts(Uses.size());
     for (const auto &it : trace.Requests)
       ++counts[it.Adapter];
@@ -36,7 +37,7 @@
     }
   }
 
-  /// Requests a second that are to be expected.
+  /// Returns the expected requests per second.
   double operator()(AdapterKey adapter, Instant now) {
     applyChanges(now);
     double rate = 0;
@@ -62,8 +63,8 @@
   }
 
   double running(AdapterKey adapter, Instant now) const {
-    double goesOn = 1 - 1 / Work.SessionRequests;
-    if (goesOn <= 0)
+    double continueProbability = 1 - 1 / Work.SessionRequests;
+    if (continueProbability <= 0)
       return 0;
     double out = 0;
     const auto &uses = Uses[adapter];
@@ -77,8 +78,8 @@
         break;
       if (it->Next <= now)
         continue;
-      double alive = goesOn * std::exp(-age);
-      out += alive / (alive + 1 - goesOn) / Work.SessionGapS;
+      double alive = continueProbability * std::exp(-age);
+      out += alive / (alive + 1 - continueProbability) / Work.SessionGapS;
     }
     return out;
   }
--- a/Bench/Core/Baselines/LruCore.cpp
+++ b/Bench/Core/Baselines/LruCore.cpp
@@ -69,7 +69,7 @@
 }
 
 void LruCore::on(const LoadDone &event) {
-  loadOver(event.Replica, event.Adapter);
+  onLoadEnded(event.Replica, event.Adapter);
   auto replica = Replicas.find(event.Replica);
   if (replica == Replicas.end())
     return;
@@ -80,7 +80,7 @@
 }
 
 void LruCore::on(const LoadFailed &event) {
-  loadOver(event.Replica, event.Adapter);
+  onLoadEnded(event.Replica, event.Adapter);
   auto replica = Replicas.find(event.Replica);
   if (replica != Replicas.end())
     replica->second.Adapters.erase(event.Adapter);
@@ -89,7 +89,7 @@
     queue->second.NotBefore = Now + LoadRetry;
 }
 
-void LruCore::loadOver(ReplicaKey where, AdapterKey adapter) {
+void LruCore::onLoadEnded(ReplicaKey where, AdapterKey adapter) {
   auto replica = Replicas.find(where);
   if (replica == Replicas.end())
     return;
@@ -99,7 +99,7 @@
   --LoadsRunning;
   auto queue = Queues.find(adapter);
   if (queue != Queues.end())
-    queue->second.LoadComing = false;
+    queue->second.LoadPending = false;
 }
 
 void LruCore::on(const EvictDone &event) {
@@ -107,23 +107,23 @@
   if (replica == Replicas.end())
     return;
   auto it = replica->second.Adapters.find(event.Adapter);
-  if (it == replica->second.Adapters.end() || !it->second.LeavesFor)
+  if (it == replica->second.Adapters.end() || !it->second.EvictedFor)
     return;
-  AdapterKey wanted = it->second.LeavesFor;
+  AdapterKey wanted = it->second.EvictedFor;
   replica->second.LastEviction = Now;
   --LoadsRunning;
   if (event.Refused)
-    it->second.LeavesFor = NoAdapter;
+    it->second.EvictedFor = NoAdapter;
   else
     replica->second.Adapters.erase(it);
   auto queue = Queues.find(wanted);
   if (queue == Queues.end())
     return;
-  queue->second.LoadComing = false;
+  queue->second.LoadPending = false;
   bool there = replica->second.Adapters.contains(wanted);
   if (event.Refused || replica->second.Draining || there)
     return;
-  queue->second.LoadComing = true;
+  queue->second.LoadPending = true;
   orderLoad(event.Replica, wanted);
 }
 
@@ -136,13 +136,13 @@
   if (it == Replicas.end())
     return;
   for (const auto &[adapter, resident] : it->second.Adapters) {
-    AdapterKey wanted = resident.Loading ? adapter : resident.LeavesFor;
+    AdapterKey wanted = resident.Loading ? adapter : resident.EvictedFor;
     if (wanted == NoAdapter)
       continue;
     --LoadsRunning;
     auto queue = Queues.find(wanted);
     if (queue != Queues.end())
-      queue->second.LoadComing = false;
+      queue->second.LoadPending = false;
   }
   Replicas.erase(it);
 }
@@ -169,7 +169,7 @@
 void LruCore::dropMissing(Replica &replica, const ReplicaReport &event) {
   std::erase_if(replica.Adapters, [&event](const auto &entry) {
     const auto &resident = entry.second;
-    bool busy = resident.Loading || resident.LeavesFor || resident.Running;
+    bool busy = resident.Loading || resident.EvictedFor || resident.Running;
     if (busy || resident.LoadedAt >= event.TakenAt)
       return false;
     return std::none_of(
@@ -213,16 +213,16 @@
     serveQueue(adapter, queue);
   std::erase_if(LoadOrder, [this](AdapterKey adapter) {
     auto it = Queues.find(adapter);
-    bool over = it->second.Requests.empty() && !it->second.LoadComing;
-    if (over)
+    bool done = it->second.Requests.empty() && !it->second.LoadPending;
+    if (done)
       Queues.erase(it);
-    return over;
+    return done;
   });
 }
 
 void LruCore::serveQueue(AdapterKey adapter, Queue &queue) {
   while (!queue.Requests.empty()) {
-    ReplicaKey where = leastLoadedHolder(adapter);
+    ReplicaKey where = leastLoadedReplica(adapter);
     if (where == 0)
       return;
     auto &replica = Replicas[where];
@@ -242,7 +242,7 @@
   }
 }
 
-ReplicaKey LruCore::leastLoadedHolder(AdapterKey adapter) const {
+ReplicaKey LruCore::leastLoadedReplica(AdapterKey adapter) const {
   ReplicaKey best = 0;
   std::uint32_t fewest = 0;
   for (const auto &[key, replica] : Replicas) {
@@ -251,7 +251,7 @@
     if (adapter != NoAdapter) {
       auto it = replica.Adapters.find(adapter);
       if (it == replica.Adapters.end() || it->second.Loading ||
-          it->second.LeavesFor)
+          it->second.EvictedFor)
         continue;
     }
     best = key;
@@ -266,9 +266,9 @@
       return;
     auto &queue = Queues[adapter];
     bool wanted = adapter != NoAdapter && !queue.Requests.empty();
-    if (!wanted || queue.LoadComing || queue.NotBefore > Now)
+    if (!wanted || queue.LoadPending || queue.NotBefore > Now)
       continue;
-    // Without room for this one there is none for the next either.
+    // If there is no slot for this adapter, there is none for the next one.
     if (!startLoad(adapter, queue))
       return;
   }
@@ -276,7 +276,7 @@
 
 bool LruCore::startLoad(AdapterKey adapter, Queue &queue) {
   if (auto where = freeSlot(adapter)) {
-    queue.LoadComing = true;
+    queue.LoadPending = true;
     orderLoad(*where, adapter);
     return true;
   }
@@ -286,8 +286,8 @@
   if (!found)
     return false;
   ++LoadsRunning;
-  queue.LoadComing = true;
-  Replicas[found->Where].Adapters[found->Adapter].LeavesFor = adapter;
+  queue.LoadPending = true;
+  Replicas[found->Where].Adapters[found->Adapter].EvictedFor = adapter;
   Out->push_back(Evict{found->Where, found->Adapter, Reason::MakeRoom});
   return true;
 }
@@ -321,7 +321,7 @@
     if (!replica.usable() || replica.Adapters.contains(adapter))
       continue;
     for (const auto &[name, resident] : replica.Adapters) {
-      if (resident.Running || resident.Loading || resident.LeavesFor)
+      if (resident.Running || resident.Loading || resident.EvictedFor)
         continue;
       double value = worth(name, resident);
       if (out && value >= least)
--- a/Bench/Core/Baselines/LruCore.h
+++ b/Bench/Core/Baselines/LruCore.h
@@ -13,26 +13,26 @@
 
 /// Settings of the baseline.
 struct LruCoreSettings {
-  /// How much an adapter is worth keeping; the least is evicted first.
+  /// Returns the value of keeping an adapter; the lowest is evicted first.
   using Valuation = std::function<double(AdapterKey, Instant)>;
 
-  /// Loads that may run at once.
+  /// Max. concurrent loads.
   std::uint32_t ParallelLoads = std::numeric_limits<std::uint32_t>::max();
-  /// Requests that may wait.
+  /// Max. waiting requests.
   std::uint32_t QueueLimit = 2000;
-  /// If empty, the time of the last use.
+  /// If empty, adapters are valued by the time of their last use.
   Valuation Worth;
 };
 
 /// The baseline that the decision core is compared with: the least recently
-/// used adapter goes, loads run in parallel, the replica with the fewest in
-/// flight is chosen, queues are FIFO, and a request is refused only when its
+/// used adapter is evicted, loads run in parallel, the replica with the fewest
+/// in flight is chosen, queues are FIFO, and a request is refused only when its
 /// deadline has passed or the queue is full.
 class LruCore {
 public:
   explicit LruCore(const LruCoreSettings &settings) : Settings(settings) {}
 
-  /// Takes in one event; what is to be done is appended to `actions`.
+  /// Handles one event and appends the resulting actions to `actions`.
   void handle(const Event &event, Instant now, std::vector<Action> &actions);
 
 private:
@@ -46,15 +46,15 @@
     Instant LastUsed{};
     Instant LoadedAt{};
     bool Loading = false;
-    /// Being evicted to make room for this adapter, if not 0.
-    AdapterKey LeavesFor = NoAdapter;
+    /// The adapter for which this one is being evicted, or NoAdapter.
+    AdapterKey EvictedFor = NoAdapter;
   };
   struct Replica {
     ReplicaAdded Properties;
     bool Draining = false;
     bool Silent = false;
     std::uint32_t Running = 0;
-    /// When an adapter was last evicted; older reports may still show it.
+    /// Time of the last eviction; older reports may still list the adapter.
     Instant LastEviction{};
     std::map<AdapterKey, Resident> Adapters;
 
@@ -65,9 +65,9 @@
   struct Queue {
     std::deque<Waiting> Requests;
     Instant NotBefore{};
-    bool LoadComing = false;
+    bool LoadPending = false;
   };
-  struct Placed {
+  struct Placement {
     AdapterKey Adapter = NoAdapter;
     ReplicaKey Where = 0;
   };
@@ -99,9 +99,9 @@
   std::optional<ReplicaKey> freeSlot(AdapterKey adapter) const;
   std::optional<Victim> victim(AdapterKey adapter) const;
   double worth(AdapterKey adapter, const Resident &resident) const;
-  ReplicaKey leastLoadedHolder(AdapterKey adapter) const;
+  ReplicaKey leastLoadedReplica(AdapterKey adapter) const;
   void dropMissing(Replica &replica, const ReplicaReport &event);
-  void loadOver(ReplicaKey where, AdapterKey adapter);
+  void onLoadEnded(ReplicaKey where, AdapterKey adapter);
 
   LruCoreSettings Settings;
   Instant Now{};
@@ -111,9 +111,9 @@
   std::size_t WaitingRequests = 0;
   std::map<ReplicaKey, Replica> Replicas;
   std::map<AdapterKey, Queue> Queues;
-  /// Adapters in the order in which they began to wait.
+  /// Adapters with queues, in the order in which their requests began to wait.
   std::deque<AdapterKey> LoadOrder;
-  std::unordered_map<RequestKey, Placed> Running;
+  std::unordered_map<RequestKey, Placement> Running;
 };
 
 } // namespace hemlockglade::bench
--- a/Bench/Core/Bounds.cpp
+++ b/Bench/Core/Bounds.cpp
@@ -94,12 +94,12 @@
   double limit = bound.Value;
   if (!bound.Versus.empty())
     limit *= mean(bound.Figure, row, bound.Versus);
-  bool kept = bound.IsMaximum ? value <= limit : value >= limit;
-  bool zeroKept = kept && bound.IsMaximum && limit == 0;
-  if (!zeroKept)
-    Out << " " << bound.Figure << "=" << value << (kept ? " " : " NOT ")
+  bool met = bound.IsMaximum ? value <= limit : value >= limit;
+  bool zeroMet = met && bound.IsMaximum && limit == 0;
+  if (!zeroMet)
+    Out << " " << bound.Figure << "=" << value << (met ? " " : " NOT ")
         << (bound.IsMaximum ? "<=" : ">=") << " " << limit << ";";
-  return kept;
+  return met;
 }
 
 double BoundsCheck::mean(const std::string &figure, const BoundRow &row,
--- a/Bench/Core/Bounds.h
+++ b/Bench/Core/Bounds.h
@@ -11,17 +11,18 @@
 
 namespace hemlockglade::bench {
 
-/// What a figure must keep to.
+/// Limit of a figure.
 struct Bound {
   std::string Figure;
   bool IsMaximum = true;
   double Value = 0;
-  /// If not empty, `Value` is a factor of what this policy reaches in the
-  /// same scenario with the same seeds.
+  /// If not empty, the limit is `Value` times this policy's figure in the same
+  /// scenario with the same seeds.
   std::string Versus;
 };
 
-/// Runs of a policy, and the bounds of the means of their figures.
+/// Runs of a policy in a scenario, and the bounds of the means of their
+/// figures.
 struct BoundRow {
   std::string Scenario;
   std::string Policy;
@@ -29,17 +30,17 @@
   std::vector<Bound> Bounds;
 };
 
-/// Gives the figures of a scenario, a policy and a seed.
+/// Runs a scenario with a policy and a seed, and returns the figures.
 using RunFunction = std::function<nlohmann::json(
     const std::string &, const std::string &, std::uint64_t)>;
 
-/// Reads a file of bounds; throws `std::runtime_error` that says what is
-/// wrong.
+/// Reads a file of bounds; throws `std::runtime_error` with the file and the
+/// cause if it is invalid.
 std::vector<BoundRow> readBounds(const std::filesystem::path &path);
 
 /// Runs the rows and compares their figures with the bounds. Figures of
-/// correctness must be 0 in every row that has
-/// no bounds of its own for them.
+/// correctness must be 0 in every row that doesn't bound them itself. Each run
+/// is done once.
 class BoundsCheck {
 public:
   BoundsCheck(RunFunction run, std::ostream &out);
--- a/Bench/Core/Checker.h
+++ b/Bench/Core/Checker.h
@@ -7,31 +7,35 @@
 
 namespace hemlockglade::bench {
 
-/// Judges a policy by what the fakes saw, whatever it says of itself.
+/// Counts violations of correctness by a policy, from what the fakes observe
+/// and independently of what the policy reports.
 class Checker {
 public:
   explicit Checker(Figures &figures) : Out(figures) {}
 
-  /// The policy was asked about a request.
+  /// Called when a request is passed to the policy.
   void asked(RequestKey request);
 
-  /// The asker does not wait for the policy's answer any more.
+  /// Called when the sender no longer waits for the policy's decision.
   void withdrawn(RequestKey request);
 
-  /// The policy decided. False, and counted as doubled, if it had decided
-  /// before or was never asked.
+  /// Called when the policy has decided on a request. Returns false if the
+  /// decision must be ignored: if the request was withdrawn, or, counted as
+  /// doubled, if it was decided before or never passed to the policy.
   bool decided(RequestKey request);
 
-  /// An engine that the policy knew lacked the adapter of an admission.
+  /// Called when a request was admitted to an engine without its adapter,
+  /// though the policy had received a report of this incarnation.
   void wrongAdapter() { ++Out.WrongAdapter; }
 
-  /// A request ran where a rule does not let its adapter run.
+  /// Called when a request runs in a failure domain where a rule doesn't allow
+  /// its adapter.
   void outsideRule() { ++Out.OutsideRule; }
 
-  /// An eviction took `broken` running requests with it.
+  /// Called for an eviction that broke `broken` running requests.
   void evicted(std::size_t broken, bool leaseHeld);
 
-  /// The whole answer of the caller's request `index` came.
+  /// Called when the whole answer of request `index` of the trace has arrived.
   void completed(std::size_t index);
 
 private:
--- a/Bench/Core/CostProbe.cpp
+++ b/Bench/Core/CostProbe.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// Bytes that the program has allocated and not freed.
+/// Returns the bytes that the program has allocated and not freed.
 double allocated() {
   auto info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-/// A core that notes how long each of its calls took.
+/// A core that records the duration of each of its calls.
 class ProbedCore : public ObedientCore {
 public:
   ProbedCore() {
-    Around = [this](const std::function<void()> &call) {
+    CallWrapper = [this](const std::function<void()> &call) {
       auto before = std::chrono::steady_clock::now();
       call();
       auto spent =
@@ -33,7 +33,8 @@
   ProbedCore(const ProbedCore &) = delete;
   ProbedCore &operator=(const ProbedCore &) = delete;
 
-  /// Times of the calls since the last `take`, in nanoseconds.
+  /// Returns the durations of the calls since the last `takeTimes`, in
+  /// nanoseconds.
   std::vector<std::uint32_t> takeTimes() { return std::exchange(Times, {}); }
 
 private:
@@ -49,7 +50,7 @@
     core.addReplica(it, CellSlots, CellBatch);
 }
 
-/// Bytes for each of `n` that `add` adds.
+/// Calls `add` `n` times and returns the mean growth of memory in bytes.
 template <typename F>
 double bytesEach(std::uint32_t n, ProbedCore &core, F add) {
   core.takeTimes();
@@ -67,7 +68,7 @@
   });
 }
 
-/// Each adapter was asked for once, served and evicted for a later one.
+/// Each adapter is requested once, served, and evicted for a later one.
 double bytesPerIdleAdapter() {
   ProbedCore core;
   addCell(core);
@@ -77,7 +78,7 @@
   });
 }
 
-/// Each adapter stays loaded, without requests.
+/// Each adapter stays resident without running requests.
 double bytesPerLoadedAdapter() {
   constexpr std::uint32_t Adapters = 50000;
   ProbedCore core;
@@ -86,7 +87,7 @@
                    [&core](std::uint32_t it) { core.request(it); });
 }
 
-/// One adapter runs all requests.
+/// All requests run on one adapter.
 nlohmann::json bytesPerRunningRequest() {
   constexpr std::uint32_t Requests = 100000;
   ProbedCore core;
@@ -97,7 +98,7 @@
   return {{"bytes", bytes}, {"running", core.running()}};
 }
 
-/// The only replica's batch is full.
+/// All requests wait, since the batch of the only replica is full.
 nlohmann::json bytesPerWaitingRequest() {
   ProbedCore core;
   core.addReplica(1, CellSlots, 1);
@@ -114,7 +115,8 @@
   return values[static_cast<std::size_t>(rank)];
 }
 
-/// Every adapter has been asked for; then a skewed mix of requests comes.
+/// Measures decisions for requests with Zipf-distributed adapters, after each
+/// adapter was requested once.
 nlohmann::json decisionTimes(std::uint32_t adapters) {
   ProbedCore core;
   addCell(core);
--- a/Bench/Core/CostProbe.h
+++ b/Bench/Core/CostProbe.h
@@ -4,9 +4,9 @@
 
 namespace hemlockglade::bench {
 
-/// Measures what the decision core costs by itself: the memory that one more
-/// replica, adapter or request takes, and the time of a decision by the number
-/// of adapters. These are figures of this machine and are not bounded.
+/// Measures the cost of the decision core alone: the memory per replica,
+/// adapter and request, and the time of a decision by the number of adapters.
+/// The figures depend on the machine and have no bounds.
 nlohmann::json measureCosts();
 
 } // namespace hemlockglade::bench
--- a/Bench/Core/FakeCallers.cpp
+++ b/Bench/Core/FakeCallers.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr std::uint32_t MostEntryRetries = 3;
+constexpr std::uint32_t MaxEntryRetries = 3;
 constexpr Span EntryRetryDelay = std::chrono::milliseconds(50);
-constexpr Span LeastCallerDelay = std::chrono::milliseconds(500);
-/// Callers who are told to come back later than this do not.
-constexpr Span MostCallerDelay = std::chrono::seconds(120);
-constexpr Span AskAgainDelay = std::chrono::milliseconds(200);
+constexpr Span MinCallerDelay = std::chrono::milliseconds(500);
+/// Callers don't retry if they are to wait longer than this.
+constexpr Span MaxCallerDelay = std::chrono::seconds(120);
+constexpr Span ResendDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -20,7 +20,7 @@
                          Checker &checker, std::uint64_t seed,
                          FakeCallersHooks hooks)
     : Loop(loop), Work(workload), Requests(trace), Residency(residency),
-      Judge(checker), Draw(seed), Hooks(std::move(hooks)),
+      Correctness(checker), Draw(seed), Hooks(std::move(hooks)),
       States(trace.Requests.size()), Pending(States.size()) {}
 
 void FakeCallers::start() {
@@ -46,7 +46,7 @@
   RequestKey attempt = Attempts.size();
   Attempts.push_back(index);
   States[index].Waiting = attempt;
-  Judge.asked(attempt);
+  Correctness.asked(attempt);
   RequestArrived event;
   event.Request = attempt;
   event.Adapter = request.Adapter;
@@ -71,13 +71,13 @@
   std::size_t index = indexOf(attempt);
   auto &state = States[index];
   admitted(attempt);
-  bool comesBack = retryAfter <= MostCallerDelay && !state.MayHaveRun &&
-                   state.CallerRetries < classOf(index).CallerRetries;
-  if (!comesBack)
+  bool retries = retryAfter <= MaxCallerDelay && !state.MayHaveRun &&
+                 state.CallerRetries < classOf(index).CallerRetries;
+  if (!retries)
     return end(index, state.MayHaveRun ? Status::Unknown : Status::NotRun);
   ++state.CallerRetries;
-  Span wait = std::max(retryAfter, LeastCallerDelay);
-  // Callers come back within a quarter more than they were told.
+  Span wait = std::max(retryAfter, MinCallerDelay);
+  // Callers retry after the given delay plus up to a quarter of it.
   wait += seconds(toSeconds(wait) * Draw.uniform() / 4);
   Loop.after(wait, [this, index] {
     States[index].Due = Loop.now() + seconds(classOf(index).DeadlineS);
@@ -88,7 +88,7 @@
 void FakeCallers::notRun(RequestKey attempt) {
   Hooks.Release(attempt);
   std::size_t index = indexOf(attempt);
-  if (States[index].EntryRetries < MostEntryRetries)
+  if (States[index].EntryRetries < MaxEntryRetries)
     return retryAtEntry(index);
   end(index, States[index].MayHaveRun ? Status::Unknown : Status::NotRun);
 }
@@ -100,7 +100,7 @@
 void FakeCallers::finished(RequestKey attempt) {
   Hooks.Release(attempt);
   std::size_t index = indexOf(attempt);
-  Judge.completed(index);
+  Correctness.completed(index);
   end(index, Status::Complete);
 }
 
@@ -109,20 +109,21 @@
   std::size_t index = indexOf(attempt);
   auto &state = States[index];
   state.MayHaveRun = true;
-  bool again = state.FirstAt == Instant{} && classOf(index).Repeatable &&
-               state.EntryRetries < MostEntryRetries && Loop.now() < state.Due;
-  if (again)
+  bool mustRetry = state.FirstAt == Instant{} && classOf(index).Repeatable &&
+                   state.EntryRetries < MaxEntryRetries &&
+                   Loop.now() < state.Due;
+  if (mustRetry)
     return retryAtEntry(index);
   end(index, Status::Unknown);
 }
 
-void FakeCallers::askAgain() {
+void FakeCallers::resendWaiting() {
   for (std::size_t it = 0; it < States.size(); ++it) {
     if (!States[it].Waiting)
       continue;
-    Judge.withdrawn(States[it].Waiting);
+    Correctness.withdrawn(States[it].Waiting);
     States[it].Waiting = 0;
-    Loop.after(AskAgainDelay, [this, it] { send(it, false); });
+    Loop.after(ResendDelay, [this, it] { send(it, false); });
   }
 }
 
--- a/Bench/Core/FakeCallers.h
+++ b/Bench/Core/FakeCallers.h
@@ -7,46 +7,47 @@
 
 namespace hemlockglade::bench {
 
-/// How the callers' requests reach the policy.
+/// Connects the callers to the policy.
 struct FakeCallersHooks {
   std::function<void(const RequestArrived &)> Send;
-  /// An attempt is over; its slot is free.
+  /// Called when an attempt has ended and its place in the batch is free.
   std::function<void(RequestKey)> Release;
 };
 
-/// The callers and the entries that they ask: they make the trace's requests,
-/// come back when told so, try again what was not run or may be repeated, and
-/// note how each request ended.
+/// The callers and the entries that they send to. Callers send the requests of
+/// the trace and retry refused ones after the given delay; entries retry
+/// attempts that didn't run or are repeatable. Records how each request ended.
 class FakeCallers {
 public:
   FakeCallers(VirtualLoop &loop, const Workload &workload, const Trace &trace,
               const ResidencyClock &residency, Checker &checker,
               std::uint64_t seed, FakeCallersHooks hooks);
 
-  /// Makes all requests arrive at their time.
+  /// Schedules all requests of the trace.
   void start();
 
-  /// What an engine must know to run an attempt.
+  /// Returns the data with which an engine runs an attempt.
   EngineRequest engineRequest(RequestKey attempt) const;
 
-  /// The policy admitted an attempt.
+  /// Called when the policy admits an attempt.
   void admitted(RequestKey attempt);
-  /// The policy refused it.
+  /// Called when the policy refuses an attempt.
   void refused(RequestKey attempt, Span retryAfter);
-  /// The engine refused it before it ran.
+  /// Called when the engine refuses an attempt before running it.
   void notRun(RequestKey attempt);
   void firstToken(RequestKey attempt);
   void finished(RequestKey attempt);
-  /// The engine broke it off.
+  /// Called when the engine breaks off a running attempt.
   void broken(RequestKey attempt);
 
-  /// The owner that was asked is gone: asks the next about all that wait.
-  void askAgain();
+  /// Called when the owner has been replaced: sends all waiting requests to the
+  /// new one.
+  void resendWaiting();
 
-  /// Requests that have not ended.
+  /// Number of requests that have not ended.
   std::size_t pending() const { return Pending; }
 
-  /// Writes down how all requests ended.
+  /// Adds the results of all requests to the figures.
   void report(Figures &out) const;
 
 private:
@@ -58,9 +59,9 @@
     Span Stall{};
     std::uint32_t CallerRetries = 0;
     std::uint32_t EntryRetries = 0;
-    /// An attempt that may have run was broken off.
+    /// Whether an attempt that may have run was broken off.
     bool MayHaveRun = false;
-    /// The attempt that the policy has not decided on, or 0.
+    /// The attempt that waits for the policy's decision, or 0.
     RequestKey Waiting = 0;
     Instant Due{};
   };
@@ -75,12 +76,12 @@
   const Workload &Work;
   const Trace &Requests;
   const ResidencyClock &Residency;
-  Checker &Judge;
+  Checker &Correctness;
   Random Draw;
   FakeCallersHooks Hooks;
   std::vector<State> States;
   std::size_t Pending;
-  /// Index of the request that an attempt belongs to; attempt 0 is none.
+  /// Index of the request of each attempt; attempt 0 is unused.
   std::vector<std::size_t> Attempts{0};
 };
 
--- a/Bench/Core/FakeEngine.cpp
+++ b/Bench/Core/FakeEngine.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t CachedPrefixes = 24;
-/// Part of a prompt that a cached prefix spares.
+/// Fraction of a prompt that needs no prefill if its prefix is cached.
 constexpr double CachedPart = 0.8;
 constexpr double StepRounding = 1e-6;
 
@@ -66,7 +66,7 @@
   if (!holds(adapter))
     return 0;
   progress();
-  auto broken = takeOut(adapter);
+  auto broken = removeRequests(adapter);
   Loaded.erase(adapter);
   Hooks.Resident(adapter, false);
   fillBatch();
@@ -129,11 +129,11 @@
 }
 
 void FakeEngine::progress() {
-  double past = toSeconds(Loop.now() - Since);
+  double elapsed = toSeconds(Loop.now() - Since);
   Since = Loop.now();
-  if (Running.empty() || past <= 0)
+  if (Running.empty() || elapsed <= 0)
     return;
-  double steps = past / stepSeconds();
+  double steps = elapsed / stepSeconds();
   Steps += steps;
   Work.StepRoom += steps * Group.Batch;
   Work.StepRequests += steps * static_cast<double>(Running.size());
@@ -205,7 +205,7 @@
   return tokens / Group.PrefillTokensPerStep;
 }
 
-std::vector<RequestKey> FakeEngine::takeOut(AdapterKey adapter) {
+std::vector<RequestKey> FakeEngine::removeRequests(AdapterKey adapter) {
   std::vector<RequestKey> out;
   for (const auto &it : requests()) {
     if (it.Adapter == adapter)
--- a/Bench/Core/FakeEngine.h
+++ b/Bench/Core/FakeEngine.h
@@ -9,10 +9,10 @@
 
 namespace hemlockglade::bench {
 
-/// What an engine does with a request that reaches it.
+/// An engine's answer to a request that it receives.
 enum class EngineAnswer : std::uint8_t { Runs, Down, NotLoaded };
 
-/// A request as the engine sees it.
+/// A request as an engine receives it.
 struct EngineRequest {
   RequestKey Request = 0;
   AdapterKey Adapter = NoAdapter;
@@ -21,49 +21,49 @@
   std::uint32_t Tokens = 1;
 };
 
-/// How full the batches were.
+/// Use of the batch, summed up over decode steps.
 struct EngineWork {
-  /// Decode steps times the batch's size.
+  /// Decode steps times the maximum size of the batch.
   double StepRoom = 0;
-  /// Decode steps times the requests that ran.
+  /// Decode steps times the running requests.
   double StepRequests = 0;
 };
 
-/// What the engine tells its callers and the bench.
+/// Notifications to the callers and the bench.
 struct FakeEngineHooks {
   std::function<void(RequestKey)> FirstToken;
   std::function<void(RequestKey)> Finished;
-  /// The engine went down, or threw the request out.
+  /// Called if the engine went down, or evicted the request's adapter.
   std::function<void(RequestKey)> Broken;
-  /// The adapter came (true) or went (false).
+  /// Called when the adapter became resident (true) or was removed (false).
   std::function<void(AdapterKey, bool)> Resident;
 };
 
-/// A model engine in virtual time: adapter slots, a batch that all requests
-/// advance in together, steps that take longer the fuller the batch is, a
-/// prefix cache, a warm-up after its start.
+/// Simulated model engine in virtual time: adapter slots, a batch whose
+/// requests advance together, steps that take longer the more requests run, a
+/// prefix cache, and slower steps during a warm-up after a restart.
 class FakeEngine {
 public:
   FakeEngine(VirtualLoop &loop, FakeWeightStore &store,
              const EngineGroup &group, FakeEngineHooks hooks);
 
-  /// Takes a request if its adapter is loaded.
+  /// Accepts a request if the engine is up and its adapter is resident.
   EngineAnswer start(const EngineRequest &request);
 
-  /// Loads an adapter; `done` says whether it is there now.
+  /// Loads an adapter; `done` gets whether it is resident now.
   void load(AdapterKey adapter, std::function<void(bool)> done);
 
-  /// Gives a load up; its `done` hears that it failed.
+  /// Cancels a load; its `done` is called with false.
   void cancelLoad(AdapterKey adapter);
 
-  /// Takes an adapter out of its slot, whatever it runs. Returns the number
-  /// of requests that it was serving, which are broken by that.
+  /// Evicts an adapter even if requests run on it. Returns the number of its
+  /// requests, all of which are broken off.
   std::size_t evict(AdapterKey adapter);
 
-  /// Ends the process: everything in it is gone.
+  /// Ends the process, with all its requests, loads and resident adapters.
   void stop();
 
-  /// Starts the process anew, empty and cold.
+  /// Starts a new incarnation, without adapters and with a warm-up.
   void restart();
 
   bool up() const { return Up; }
@@ -71,10 +71,10 @@
   std::uint64_t incarnation() const { return Incarnation; }
   EngineWork work();
 
-  /// The engine's report of itself, without the replica's key.
+  /// Returns the engine's report; the caller fills in the replica's key.
   ReplicaReport report() const;
 
-  /// Requests that run or wait inside, with their adapters.
+  /// Returns the requests that run or wait in the engine.
   std::vector<EngineRequest> requests() const;
 
 private:
@@ -95,7 +95,7 @@
   void fillBatch();
   double stepSeconds() const;
   double prefillSteps(const EngineRequest &request);
-  std::vector<RequestKey> takeOut(AdapterKey adapter);
+  std::vector<RequestKey> removeRequests(AdapterKey adapter);
 
   VirtualLoop &Loop;
   FakeWeightStore &Store;
@@ -105,7 +105,8 @@
   std::uint64_t Incarnation = 1;
   Instant WarmAt{};
   Instant Since{};
-  /// Steps made since the start; the time by which requests are measured.
+  /// Decode steps since the start; the progress of requests is measured in
+  /// them.
   double Steps = 0;
   std::uint64_t Generation = 0;
   EngineWork Work;
--- a/Bench/Core/FakeWeightStore.cpp
+++ b/Bench/Core/FakeWeightStore.cpp
@@ -49,9 +49,9 @@
 }
 
 void FakeWeightStore::progress() {
-  double past = toSeconds(Loop.now() - Since);
+  double elapsed = toSeconds(Loop.now() - Since);
   Since = Loop.now();
-  double part = past * Rate / std::max(1.0, transfers());
+  double part = elapsed * Rate / std::max(1.0, transfers());
   for (auto &[ticket, transfer] : Transfers)
     transfer.Left -= part;
 }
@@ -60,10 +60,10 @@
   std::uint64_t generation = ++Generation;
   if (Transfers.empty() || Rate <= 0)
     return;
-  double least = 1;
+  double minLeft = 1;
   for (const auto &[ticket, transfer] : Transfers)
-    least = std::min(least, transfer.Left);
-  double wait = std::max(0.0, least) * transfers() / Rate;
+    minLeft = std::min(minLeft, transfer.Left);
+  double wait = std::max(0.0, minLeft) * transfers() / Rate;
   Loop.after(seconds(wait) + Span(1), [this, generation] {
     if (generation != Generation)
       return;
@@ -86,7 +86,7 @@
 void FakeWeightStore::finish(Ticket ticket, bool worked) {
   auto done = std::move(Transfers.at(ticket).Call);
   Transfers.erase(ticket);
-  // Called from the loop, since it may start the next load.
+  // Deferred to the loop, since `done` may start the next load.
   Loop.after({}, [done = std::move(done), worked] { done(worked); });
 }
 
--- a/Bench/Core/FakeWeightStore.h
+++ b/Bench/Core/FakeWeightStore.h
@@ -10,18 +10,18 @@
 
 /// Settings of the fake weight store.
 struct FakeWeightStoreSettings {
-  /// Loads a second, shared by all that run at once.
+  /// Loads per second, shared by all concurrent ones.
   double LoadsPerS = 3;
-  /// Part of the loads that fail half way.
+  /// Fraction of the loads that fail half way.
   double Failures = 0;
-  /// Part of the adapters whose loads always fail half way.
+  /// Fraction of the adapters whose loads always fail half way.
   double BrokenAdapters = 0;
-  /// When an engine gives a load up.
+  /// Time after which an engine abandons a load.
   double TimeoutS = 60;
 };
 
-/// A rate-limited weight store in virtual time: loads that run at once share
-/// its rate, so that each is fastest when it runs alone.
+/// Simulated rate-limited weight store in virtual time. Concurrent loads share
+/// its rate evenly, so a load is fastest when it runs alone.
 class FakeWeightStore {
 public:
   using Ticket = std::uint64_t;
@@ -30,19 +30,19 @@
   FakeWeightStore(VirtualLoop &loop, const FakeWeightStoreSettings &settings,
                   std::uint64_t seed);
 
-  /// Starts a load; `done` says whether it worked.
+  /// Starts a load; `done` gets whether it succeeded.
   Ticket start(AdapterKey adapter, Done done);
 
-  /// Ends a load; its `done` is not called.
+  /// Cancels a load without calling its `done`.
   void cancel(Ticket ticket);
 
-  /// Changes the rate; 0 while the store is gone.
+  /// Changes the rate; 0 while the store is unavailable.
   void setRate(double loadsPerS);
 
-  /// Loads that were started.
+  /// Number of loads started.
   std::uint64_t started() const { return Started; }
 
-  /// Whether loads of the adapter always fail.
+  /// Returns whether loads of the adapter always fail.
   bool broken(AdapterKey adapter) const;
 
 private:
--- a/Bench/Core/Figures.cpp
+++ b/Bench/Core/Figures.cpp
@@ -24,7 +24,7 @@
   return sum / static_cast<double>(values.size());
 }
 
-/// Rounds to microseconds, which is all that virtual time knows.
+/// Rounds to microseconds, the resolution of virtual time.
 double rounded(double value) { return std::round(value * 1e6) / 1e6; }
 
 double part(std::uint64_t some, std::uint64_t all) {
--- a/Bench/Core/Figures.h
+++ b/Bench/Core/Figures.h
@@ -8,8 +8,8 @@
 
 namespace hemlockglade::bench {
 
-/// What a run measured. All but the decision times are in virtual time and
-/// the same at every run of the same program.
+/// Results of a run. All but the decision times are in virtual time and are the
+/// same in every run of the same program.
 struct Figures {
   std::uint64_t Requests = 0;
   std::uint64_t Answered = 0;
@@ -19,14 +19,15 @@
   std::uint64_t Doubled = 0;
   std::uint64_t WrongAdapter = 0;
   std::uint64_t EvictedWhileServing = 0;
-  /// Evictions ordered while the lease did not hold.
+  /// Evictions commanded while the lease was not held.
   std::uint64_t EvictedWithoutLease = 0;
-  /// Requests that ran where a rule does not let their adapter run.
+  /// Requests that ran in a failure domain where a rule doesn't allow their
+  /// adapter.
   std::uint64_t OutsideRule = 0;
-  /// Admissions to an engine that went down or lost the adapter unknown to
-  /// the policy; they were not run.
+  /// Admissions to an engine that was down or no longer had the adapter, which
+  /// the policy couldn't know yet; they were not run.
   std::uint64_t StaleAdmits = 0;
-  /// Attempts that the policy was asked for.
+  /// Attempts that were passed to the policy.
   std::uint64_t Attempts = 0;
   std::uint64_t Loads = 0;
   std::uint64_t LoadsFailed = 0;
@@ -35,9 +36,9 @@
   std::uint64_t DecisionHash = 0;
   std::uint64_t Decisions = 0;
   double BatchFill = 0;
-  /// Requests whose first token came in time, as part of all.
+  /// Requests whose first token arrived within the deadline.
   std::uint64_t InTime = 0;
-  /// How a class fared.
+  /// Figures of one class of callers.
   struct ClassFigures {
     std::uint64_t Requests = 0;
     std::uint64_t InTime = 0;
@@ -45,17 +46,17 @@
   std::map<std::string, ClassFigures> Classes;
   /// Load stalls of answered requests, in seconds.
   std::vector<double> Stalls;
-  /// Load stalls of requests that ended in a refusal.
+  /// Load stalls of requests that ended in a refusal, in seconds.
   std::vector<double> RefusedStalls;
-  /// Load stalls of all, where one without answer counts at least its
-  /// deadline.
+  /// Load stalls of all requests, in seconds; a request without an answer
+  /// counts with at least its deadline.
   std::vector<double> PenalisedStalls;
-  /// Times to the first token of answered requests.
+  /// Times to the first token of answered requests, in seconds.
   std::vector<double> FirstTokens;
-  /// Wall clock time of each call of the policy.
+  /// Wall-clock time of each call of the policy, in nanoseconds.
   std::vector<std::uint32_t> DecisionNs;
 
-  /// The figures under the names that bounds and reports use.
+  /// Returns the figures under the names that bounds and reports use.
   nlohmann::json toJson() const;
 };
 
--- a/Bench/Core/MarkdownTable.h
+++ b/Bench/Core/MarkdownTable.h
@@ -4,11 +4,11 @@
 
 namespace hemlockglade::bench {
 
-/// What a table of results shows.
+/// Contents of a table of results.
 struct MarkdownTableSettings {
   std::vector<std::string> Scenarios;
   std::vector<std::string> Policies;
-  /// Seeds 1 to this; the table gives the mean.
+  /// The table shows means over seeds 1 to this one.
   std::uint64_t Seeds = 3;
 };
 
--- a/Bench/Core/ObedientCore.h
+++ b/Bench/Core/ObedientCore.h
@@ -9,8 +9,8 @@
 
 namespace hemlockglade::bench {
 
-/// A decision core without limits whose orders are all carried out at once, for
-/// measuring what the core itself costs.
+/// A decision core without limits whose commands all succeed immediately, for
+/// measuring the cost of the core itself.
 class ObedientCore {
 public:
   ObedientCore() : Core(unlimited()) {
@@ -35,14 +35,15 @@
     return report;
   }
 
-  /// Asks for an adapter; the request ends at once unless it is to run on.
-  void request(AdapterKey adapter, bool runsOn = false) {
-    constexpr Span Patience = std::chrono::hours(24);
+  /// Sends a request for an adapter. It ends once admitted, unless it is to
+  /// keep running.
+  void request(AdapterKey adapter, bool keepRunning = false) {
+    constexpr Span Timeout = std::chrono::hours(24);
     RequestArrived event;
     event.Request = ++Requests;
     event.Adapter = adapter;
-    event.Deadline = Now + Patience;
-    RunsOn = runsOn;
+    event.Deadline = Now + Timeout;
+    KeepRunning = keepRunning;
     drive(event);
   }
 
@@ -55,8 +56,8 @@
     if (auto *report = std::get_if<ReplicaReport>(&event))
       report->TakenAt = Now;
     Actions.clear();
-    if (Around)
-      Around([&] { Core.handle(event, Now, Actions); });
+    if (CallWrapper)
+      CallWrapper([&] { Core.handle(event, Now, Actions); });
     else
       Core.handle(event, Now, Actions);
     for (const auto &action : std::vector<Action>(Actions))
@@ -66,8 +67,8 @@
   std::size_t waiting() const { return Core.waiting(); }
   std::size_t running() const { return Core.running(); }
 
-  /// Makes each call of the core, if set, so that it can be timed.
-  std::function<void(const std::function<void()> &call)> Around;
+  /// If set, is passed each call of the core and must run it; used for timing.
+  std::function<void(const std::function<void()> &call)> CallWrapper;
 
 private:
   static CellCoreSettings unlimited() {
@@ -79,7 +80,7 @@
   }
 
   void apply(const Admit &action) {
-    if (!RunsOn)
+    if (!KeepRunning)
       drive(RequestFinished{action.Request});
   }
   void apply(const Load &action) {
@@ -94,7 +95,7 @@
   CellCore Core;
   Instant Now = std::chrono::hours(1);
   RequestKey Requests = 0;
-  bool RunsOn = false;
+  bool KeepRunning = false;
   std::vector<Action> Actions;
 };
 
--- a/Bench/Core/Policies.cpp
+++ b/Bench/Core/Policies.cpp
@@ -17,8 +17,8 @@
   };
 }
 
-/// One load at a time on each replica. More would be unfair to the baseline:
-/// slots that wait for a load hold nothing, and the stalls grow.
+/// Allows one load per replica on average. More would be unfair to the
+/// baseline: slots that wait for a load are empty, which makes stalls longer.
 Policy makeLru(const Workload &workload, const Trace &) {
   LruCoreSettings settings;
   settings.ParallelLoads = workload.replicas();
@@ -45,7 +45,7 @@
   return policyOf(std::make_shared<LruCore>(settings));
 }
 
-/// The core's settings for the objective that the workload names.
+/// Returns the core's settings for the workload's objective.
 CellCoreSettings coreSettings(const Workload &workload) {
   CellCoreSettings out;
   out.Objective = workload.Objective == "batch" ? 1 : 0;
--- a/Bench/Core/Policy.h
+++ b/Bench/Core/Policy.h
@@ -8,23 +8,23 @@
 
 namespace hemlockglade::bench {
 
-/// A policy under test: takes events and gives actions.
+/// A policy under test: handles an event and appends the resulting actions.
 using Policy =
     std::function<void(const Event &, Instant, std::vector<Action> &)>;
 
-/// A policy that can be asked for by name.
+/// A policy that can be selected by name.
 struct PolicyEntry {
   std::string_view Name;
   std::string_view About;
-  /// Makes one for a run. What it is given outlives the policy; the trace is
-  /// for policies that know more than a real one can.
+  /// Creates a policy for a run. Workload and trace outlive it; the trace is
+  /// for policies that know the future requests.
   Policy (*Make)(const Workload &, const Trace &);
 };
 
-/// All policies.
+/// Returns all policies.
 std::span<const PolicyEntry> policies();
 
-/// The policy of that name, or nothing.
+/// Returns the policy of that name, or null.
 const PolicyEntry *findPolicy(std::string_view name);
 
 } // namespace hemlockglade::bench
--- a/Bench/Core/Popularity.cpp
+++ b/Bench/Core/Popularity.cpp
@@ -11,7 +11,7 @@
     : Adapters(adapters) {
   assert(idle < adapters);
   std::iota(Adapters.begin(), Adapters.end(), 1);
-  // Keys must not give the ranks away.
+  // Shuffled, so that a policy can't infer ranks from keys.
   for (std::size_t it = adapters; it > 1; --it)
     std::swap(Adapters[it - 1], Adapters[random.below(it)]);
   double sum = 0;
--- a/Bench/Core/Popularity.h
+++ b/Bench/Core/Popularity.h
@@ -7,32 +7,33 @@
 
 namespace hemlockglade::bench {
 
-/// An adapter's share of the requests from a time on.
+/// An adapter's share of the requests from a point in time on.
 struct PopularityChange {
   Instant At{};
   AdapterKey Adapter = NoAdapter;
   double Share = 0;
 };
 
-/// Which adapter has which rank, and how often each rank is asked for.
+/// Assigns adapters to popularity ranks, and a share of the requests to each
+/// rank by a Zipf distribution.
 class Popularity {
 public:
-  /// Adapters 1 to `adapters`, of which the last `idle` are not asked for.
+  /// Uses adapters 1 to `adapters`; the `idle` last ranks get no requests.
   Popularity(std::uint32_t adapters, std::uint32_t idle, double zipf,
              Random &random);
 
-  /// Draws an adapter.
+  /// Draws an adapter according to the shares.
   AdapterKey draw(Random &random) const;
 
-  /// Exchanges the adapters of two ranks and notes it.
+  /// Exchanges the adapters of two ranks and records the change.
   void exchange(std::size_t one, std::size_t other, Instant now);
 
-  /// Ranks that are asked for.
+  /// Number of ranks that get requests.
   std::size_t ranks() const { return Cumulated.size(); }
-  /// All ranks, with those that are not asked for.
+  /// Number of all ranks, including the idle ones.
   std::size_t allRanks() const { return Adapters.size(); }
 
-  /// All shares at the start and every change since.
+  /// The initial shares and every change since.
   const std::vector<PopularityChange> &changes() const { return Changes; }
 
 private:
--- a/Bench/Core/Random.h
+++ b/Bench/Core/Random.h
@@ -6,12 +6,12 @@
 
 namespace hemlockglade::bench {
 
-/// A small seeded generator whose numbers are the same with every library.
+/// A small seeded generator whose numbers don't depend on the standard library.
 class Random {
 public:
   explicit Random(std::uint64_t seed) : State(seed) {}
 
-  /// The next 64 random bits (SplitMix64).
+  /// Returns the next 64 random bits (SplitMix64).
   std::uint64_t next() {
     State += 0x9e3779b97f4a7c15ULL;
     std::uint64_t n = State;
@@ -20,13 +20,13 @@
     return n ^ (n >> 31);
   }
 
-  /// A number in [0, 1).
+  /// Returns a number in [0, 1).
   double uniform() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
-  /// An exponentially distributed number.
+  /// Returns an exponentially distributed number.
   double exponential(double mean) { return -mean * std::log1p(-uniform()); }
 
-  /// An index below `n`, which must not be 0.
+  /// Returns an index below `n`, which must not be 0.
   std::size_t below(std::size_t n) {
     return static_cast<std::size_t>(uniform() * static_cast<double>(n));
   }
--- a/Bench/Core/ResidencyClock.h
+++ b/Bench/Core/ResidencyClock.h
@@ -6,17 +6,17 @@
 
 namespace hemlockglade::bench {
 
-/// Keeps for each adapter how long it was loaded on no engine at all. A
-/// request's load stall is the part of its wait that this time covers,
-/// whatever the policy under test says of it.
+/// Measures for each adapter how long it was resident on no engine. A request's
+/// load stall is the part of its wait within this time, independently of what
+/// the policy under test reports.
 class ResidencyClock {
 public:
   explicit ResidencyClock(std::uint32_t adapters) : Adapters(adapters + 1) {}
 
-  /// An engine has loaded the adapter, or lost it.
+  /// Called when an engine has loaded the adapter, or no longer has it.
   void change(AdapterKey adapter, bool loaded, Instant now);
 
-  /// Time up to `now` in which no engine had the adapter.
+  /// Returns the total time up to `now` in which no engine had the adapter.
   Span absent(AdapterKey adapter, Instant now) const;
 
 private:
--- a/Bench/Core/Simulation.cpp
+++ b/Bench/Core/Simulation.cpp
@@ -27,8 +27,8 @@
                        std::uint64_t seed)
     : Work(workload), Entry(policy), Seed(seed),
       Requests(makeTrace(Work, seed)), Store(Loop, storeSettings(Work), seed),
-      Residency(Work.Adapters), Judge(Out),
-      Callers(Loop, Work, Requests, Residency, Judge, seed,
+      Residency(Work.Adapters), Correctness(Out),
+      Callers(Loop, Work, Requests, Residency, Correctness, seed,
               {[this](const RequestArrived &event) { drive(event); },
                [this](RequestKey request) {
                  driveLater(RequestFinished{request});
@@ -67,7 +67,7 @@
   for (const auto &fault : Work.Faults)
     scheduleFault(fault);
   Loop.run(seconds(Work.DurationS));
-  noteBatchFill();
+  recordBatchFill();
   drain();
   Callers.report(Out);
   Out.Loads = Store.started();
@@ -121,7 +121,7 @@
 void Simulation::driveAfter(Span delay, const Event &event) {
   Loop.after(delay, [this, event, owner = Owner] {
     bool release = std::holds_alternative<RequestFinished>(event);
-    // The end of a request reaches whoever owns the cell by then.
+    // The end of a request is sent to the node that is the owner by then.
     if (owner == Owner || release)
       drive(event);
   });
@@ -150,7 +150,7 @@
 }
 
 void Simulation::apply(const Admit &action) {
-  if (!Judge.decided(action.Request))
+  if (!Correctness.decided(action.Request))
     return;
   Callers.admitted(action.Request);
   std::uint64_t known = node(action.Replica).Known;
@@ -169,7 +169,7 @@
   bool policyKnew =
       answer == EngineAnswer::NotLoaded && known == engine.incarnation();
   if (policyKnew)
-    Judge.wrongAdapter();
+    Correctness.wrongAdapter();
   else
     ++Out.StaleAdmits;
   Callers.notRun(request);
@@ -178,11 +178,11 @@
 void Simulation::checkRule(ReplicaKey replica, AdapterKey adapter) {
   DomainKey domain = Work.ruledDomain(adapter);
   if (domain && domain != node(replica).Properties.Domain)
-    Judge.outsideRule();
+    Correctness.outsideRule();
 }
 
 void Simulation::apply(const Refuse &action) {
-  if (!Judge.decided(action.Request))
+  if (!Correctness.decided(action.Request))
     return;
   Callers.refused(action.Request, action.RetryAfter);
 }
@@ -212,8 +212,9 @@
   ++Out.Evictions;
   EvictDone refused{action.Replica, action.Adapter, true, action.Order};
   if (Lease != LeaseMode::Held) {
-    // The sender looks at its lease again, and does not send this one.
-    Judge.evicted(0, false);
+    // The sender checks its lease before sending, and so doesn't send this
+    // command.
+    Correctness.evicted(0, false);
     return driveLater(refused);
   }
   EvictDone noAnswer{action.Replica, action.Adapter, false, action.Order, true};
@@ -222,7 +223,7 @@
   Loop.after(NetworkDelay, [this, action, refused, noAnswer, owner = Owner] {
     auto &engine = *node(action.Replica).Engine;
     if (engine.up())
-      Judge.evicted(engine.evict(action.Adapter), true);
+      Correctness.evicted(engine.evict(action.Adapter), true);
     if (owner != Owner)
       return;
     EvictDone done{action.Replica, action.Adapter, false, action.Order};
@@ -282,7 +283,7 @@
   });
 }
 
-void Simulation::noteBatchFill() {
+void Simulation::recordBatchFill() {
   EngineWork sum;
   for (auto &it : Nodes) {
     auto work = it.Engine->work();
--- a/Bench/Core/Simulation.h
+++ b/Bench/Core/Simulation.h
@@ -7,21 +7,21 @@
 
 namespace hemlockglade::bench {
 
-/// One run: a policy that decides for a cell of fake engines, a fake weight
-/// store and fake callers, in virtual time.
+/// One run in virtual time: a policy decides for a cell of fake engines with a
+/// fake weight store and fake callers.
 class Simulation {
 public:
   Simulation(const Workload &workload, const PolicyEntry &policy,
              std::uint64_t seed);
 
-  /// Runs to the end and gives what was measured.
+  /// Runs to the end and returns the figures.
   Figures run();
 
 private:
   struct Node {
     ReplicaAdded Properties;
     std::unique_ptr<FakeEngine> Engine;
-    /// The incarnation that the policy has been told of.
+    /// The incarnation that the policy has received in a report.
     std::uint64_t Known = 0;
   };
 
@@ -30,10 +30,11 @@
   void beginOwnership(LeaseMode mode);
   void setLease(LeaseMode mode);
   void drive(const Event &event);
-  /// Drives the event after the network's delay, unless the owner changed.
+  /// Passes the event to the policy after the network delay, unless the owner
+  /// has changed by then.
   void driveLater(const Event &event);
   void driveAfter(Span delay, const Event &event);
-  /// Draws whether an order or its answer is lost.
+  /// Draws whether a command or its answer is lost.
   bool orderLost();
   void apply(const Admit &action);
   void apply(const Refuse &action);
@@ -52,7 +53,7 @@
   void takeEnginesDown(const Fault &fault);
   void takeOver(const Fault &fault);
   void adoptRunning();
-  void noteBatchFill();
+  void recordBatchFill();
   Node &node(ReplicaKey replica) { return Nodes[replica - 1]; }
 
   Workload Work;
@@ -63,13 +64,14 @@
   VirtualLoop Loop;
   FakeWeightStore Store;
   ResidencyClock Residency;
-  Checker Judge;
+  Checker Correctness;
   FakeCallers Callers;
   Random Draw;
   std::vector<Node> Nodes;
   Policy Decide;
   LeaseMode Lease = LeaseMode::None;
-  /// Rises when another node takes over; stale callbacks compare it.
+  /// Incremented when another node takes over; callbacks compare it to detect
+  /// that they are stale.
   std::uint64_t Owner = 0;
   std::vector<Action> Actions;
 };
--- a/Bench/Core/SimulationFaults.cpp
+++ b/Bench/Core/SimulationFaults.cpp
@@ -15,7 +15,7 @@
   case FaultKind::Shift:
   case FaultKind::Wake:
   case FaultKind::Scan:
-    // These are in the trace.
+    // The trace contains the effects of these faults.
     return;
   case FaultKind::Down:
     Loop.at(begin, [this, fault] { takeEnginesDown(fault); });
@@ -45,9 +45,10 @@
 void Simulation::takeEnginesDown(const Fault &fault) {
   for (auto &it : Nodes) {
     const auto &properties = it.Properties;
-    bool named = fault.Replica == 0 || fault.Replica == properties.Replica;
-    bool within = fault.Domain == 0 || fault.Domain == properties.Domain;
-    if (!named || !within)
+    bool matchesReplica =
+        fault.Replica == 0 || fault.Replica == properties.Replica;
+    bool matchesDomain = fault.Domain == 0 || fault.Domain == properties.Domain;
+    if (!matchesReplica || !matchesDomain)
       continue;
     auto *engine = it.Engine.get();
     engine->stop();
@@ -58,7 +59,7 @@
 void Simulation::takeOver(const Fault &fault) {
   ++Owner;
   Decide = Entry.Make(Work, Requests);
-  Callers.askAgain();
+  Callers.resendWaiting();
   beginOwnership(LeaseMode::Recovering);
   Loop.after(AdoptDelay, [this] { adoptRunning(); });
   Loop.after(seconds(fault.ForS), [this] { setLease(LeaseMode::Held); });
--- a/Bench/Core/Trace.cpp
+++ b/Bench/Core/Trace.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t PrefixesPerAdapter = 4;
 constexpr std::uint64_t PrefixFactor = 0x9e3779b97f4a7c15ULL;
 
-/// Draws a run's requests in the order of time.
+/// Generates the requests of a run in the order of time.
 class TraceMaker {
 public:
   TraceMaker(const Workload &workload, std::uint64_t seed)
@@ -52,7 +52,8 @@
                      [](const auto &a, const auto &b) { return a.At < b.At; });
   }
 
-  /// Every rank, the highest too, changes its adapter with the same chance.
+  /// Each rank, including the most popular one, gets another adapter with the
+  /// same probability.
   void planShift(const Fault &fault) {
     for (std::size_t rank = 0; rank < Shares.ranks(); ++rank) {
       if (Draw.uniform() < fault.Value)
@@ -87,14 +88,15 @@
     return rate;
   }
 
-  /// Thins a Poisson process of the highest rate to the rate of the time.
+  /// Adds sessions by thinning a Poisson process: draws arrivals at the highest
+  /// rate, and accepts each with the ratio of the rate at its time to it.
   void addSessions() {
     double highest = highestRate() / Work.SessionRequests;
     double now = 0;
     while ((now += Draw.exponential(1 / highest)) < Work.DurationS) {
       applyExchanges(seconds(now));
-      bool kept = Draw.uniform() * highestRate() < rateAt(now);
-      if (kept)
+      bool accepted = Draw.uniform() * highestRate() < rateAt(now);
+      if (accepted)
         addSession(now);
     }
   }
@@ -114,11 +116,11 @@
     std::uint64_t prefix =
         adapter * PrefixFactor + Draw.below(PrefixesPerAdapter) + 1;
     CallerKey caller = ++Callers;
-    double goOn = 1 - 1 / Work.SessionRequests;
+    double continueProbability = 1 - 1 / Work.SessionRequests;
     do {
       add(now, adapter, kind, prefix, caller);
       now += Draw.exponential(Work.SessionGapS);
-    } while (Draw.uniform() < goOn && now < Work.DurationS);
+    } while (Draw.uniform() < continueProbability && now < Work.DurationS);
   }
 
   void addScan(const Fault &fault) {
--- a/Bench/Core/Trace.h
+++ b/Bench/Core/Trace.h
@@ -7,7 +7,7 @@
 
 namespace hemlockglade::bench {
 
-/// A request as its caller makes it.
+/// A request as its caller sends it.
 struct TraceRequest {
   Instant At{};
   AdapterKey Adapter = NoAdapter;
@@ -18,15 +18,15 @@
   CallerKey Caller = 0;
 };
 
-/// All requests of a run in the order of their arrival. It depends on the
-/// workload and the seed alone, so that each policy meets the same requests.
+/// All requests of a run in the order of their arrival. Depends only on the
+/// workload and the seed, so that every policy gets the same requests.
 struct Trace {
   std::vector<TraceRequest> Requests;
-  /// How the adapters' shares of the requests change.
+  /// The initial shares of the adapters, and their changes.
   std::vector<PopularityChange> Shares;
 };
 
-/// Draws the requests of a run.
+/// Generates the requests of a run.
 Trace makeTrace(const Workload &workload, std::uint64_t seed);
 
 } // namespace hemlockglade::bench
--- a/Bench/Core/VirtualLoop.h
+++ b/Bench/Core/VirtualLoop.h
@@ -8,12 +8,12 @@
 
 namespace hemlockglade::bench {
 
-/// Seconds as a span of virtual time.
+/// Converts seconds to a span of virtual time.
 inline Span seconds(double n) {
   return Span(static_cast<std::int64_t>(n * 1e6));
 }
 
-/// A span of virtual time as seconds.
+/// Converts a span of virtual time to seconds.
 inline double toSeconds(Span span) {
   return static_cast<double>(span.count()) * 1e-6;
 }
@@ -24,16 +24,17 @@
 public:
   using Call = std::function<void()>;
 
-  /// The present virtual time.
+  /// Returns the current virtual time.
   Instant now() const { return Now; }
 
-  /// Runs `call` at `when`, or now if that is past.
+  /// Schedules `call` at `when`, or at the current time if `when` is in the
+  /// past.
   void at(Instant when, Call call);
 
-  /// Runs `call` after `delay`.
+  /// Schedules `call` after `delay`.
   void after(Span delay, Call call) { at(Now + delay, std::move(call)); }
 
-  /// Runs every call that is due up to `end`.
+  /// Runs all calls scheduled up to `end`, in order.
   void run(Instant end);
 
 private:
--- a/Bench/Core/Workload.cpp
+++ b/Bench/Core/Workload.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Reads the members of a map and complains about those that nobody read.
+/// Reads the members of a map; `finish` throws if there are unknown ones.
 class Reader {
 public:
   explicit Reader(const YAML::Node &node) : Node(node) {}
--- a/Bench/Core/Workload.h
+++ b/Bench/Core/Workload.h
@@ -6,18 +6,18 @@
 
 namespace hemlockglade::bench {
 
-/// Replicas of the same make.
+/// Replicas with the same properties.
 struct EngineGroup {
   std::uint32_t Count = 12;
   std::uint32_t Slots = 8;
   std::uint32_t Batch = 32;
-  /// Time of a decode step with an empty batch.
+  /// Duration of a decode step with an empty batch.
   double StepMs = 25;
-  /// What each running request adds to a step.
+  /// Time that each running request adds to a step.
   double StepPerRequestMs = 0.7;
-  /// Prompt tokens that are read in the time of one step.
+  /// Prompt tokens that are prefilled in the time of one step.
   double PrefillTokensPerStep = 256;
-  /// Time after a start in which steps take `WarmUpFactor` as long.
+  /// Time after a restart in which steps take `WarmUpFactor` times as long.
   double WarmUpS = 20;
   double WarmUpFactor = 2.5;
 };
@@ -25,47 +25,48 @@
 /// A class of callers' requests.
 struct CallerClass {
   std::string Name = "default";
-  /// Part of the requests that are of this class; the parts add up to 1.
+  /// Fraction of the requests of this class; the fractions add up to 1.
   double Share = 1;
   std::uint8_t Priority = 1;
-  /// When the first token is due after the arrival.
+  /// Time after the arrival within which the first token is due.
   double DeadlineS = 10;
   /// Mean number of tokens in an answer.
   double Tokens = 100;
   /// Mean number of tokens in a prompt.
   double PromptTokens = 300;
-  /// How often a caller comes back after a refusal.
+  /// Max. retries of a caller after refusals.
   std::uint32_t CallerRetries = 1;
-  /// Whether an entry may try again what may have run.
+  /// Whether an entry may retry a request that may have run.
   bool Repeatable = true;
 };
 
-/// From when on how many requests a second arrive.
+/// Rate of arrivals from a point in time on, in requests per second.
 struct RatePoint {
   double AtS = 0;
   double Rate = 1;
 };
 
 enum class FaultKind : std::uint8_t {
-  /// Popularity of a part (`Value`) of the adapters changes at once.
+  /// The popularity of a fraction (`Value`) of the adapters changes at once.
   Shift,
-  /// A part (`Value`) of the adapters wakes up, others fall idle, over `ForS`.
+  /// A fraction (`Value`) of the adapters gets its first requests, and others
+  /// become idle, spread over `ForS`.
   Wake,
-  /// Requests for `Value` adapters a second, each asked for once, for `ForS`.
+  /// One request each for `Value` adapters per second, for `ForS`.
   Scan,
   /// Replica `Replica` (0 for all), or domain `Domain`, is down for `ForS`.
   Down,
-  /// The weight store gives `Value` loads a second for `ForS`.
+  /// The weight store's rate is `Value` loads per second for `ForS`.
   Store,
   /// The lease is doubtful for `ForS`.
   Doubtful,
-  /// Another node takes the cell over; recovery takes `ForS`.
+  /// Another node takes over the cell; its recovery takes `ForS`.
   Takeover,
   /// Replica `Replica` is drained for `ForS`.
   Drain,
 };
 
-/// Something that happens in a run.
+/// An event of a run.
 struct Fault {
   FaultKind Kind = FaultKind::Shift;
   double AtS = 0;
@@ -75,53 +76,57 @@
   std::uint32_t Domain = 0;
 };
 
-/// What arrives at a cell, what the cell consists of, and what happens to it.
+/// Scenario of a run: the requests, the cell and the faults.
 struct Workload {
   std::string Name;
   std::string About;
-  /// What the users weigh more: `stall` or `batch`.
+  /// The users' main objective: short load stalls (`stall`) or full batches
+  /// (`batch`).
   std::string Objective = "stall";
-  /// Requests arrive for this long.
+  /// Time for which requests arrive.
   double DurationS = 900;
-  /// A request that has not ended this long after that is lost.
+  /// A request that has not ended this long after the last arrivals counts as
+  /// lost.
   double DrainS = 600;
   std::vector<EngineGroup> Engines{{}};
   std::uint32_t Domains = 3;
   std::uint32_t Adapters = 3000;
-  /// Exponent of the adapters' popularity by rank.
+  /// Exponent of the Zipf distribution of the adapters' popularity.
   double Zipf = 1.0;
-  /// Part of the adapters that nobody asks for at the start.
+  /// Fraction of the adapters that get no requests at the start.
   double Idle = 0;
   std::vector<RatePoint> Rates{{}};
-  /// Mean number of requests that a caller makes for an adapter in a row.
+  /// Mean number of consecutive requests of a caller for an adapter.
   double SessionRequests = 1;
-  /// Mean time between these.
+  /// Mean time between the requests of a session.
   double SessionGapS = 20;
   std::vector<CallerClass> Classes{{}};
   double LoadsPerS = 3;
-  /// Part of the loads that fail.
+  /// Fraction of the loads that fail.
   double LoadFailures = 0;
-  /// Part of the adapters that never load.
+  /// Fraction of the adapters whose loads always fail.
   double BrokenAdapters = 0;
-  /// Part of the load and evict orders that do not arrive; of as many others
-  /// the answer is lost.
+  /// Fraction of the load and evict commands that are lost; the same fraction
+  /// of the others' answers is lost.
   double LostOrders = 0;
-  /// Part of the adapters that may run in one failure domain only.
+  /// Fraction of the adapters that may run in one failure domain only.
   double RuledAdapters = 0;
   double ReportPeriodS = 1;
   double ReportLagS = 0.2;
-  /// Part of the reports that are missing.
+  /// Fraction of the reports that are missing.
   double ReportGaps = 0;
   std::vector<Fault> Faults;
 
-  /// The only failure domain where an adapter may run; 0 if any may.
+  /// Returns the only failure domain where an adapter may run; 0 if it may run
+  /// in all.
   std::uint32_t ruledDomain(std::uint32_t adapter) const;
 
-  /// Number of replicas.
+  /// Returns the number of replicas of all groups.
   std::uint32_t replicas() const;
 };
 
-/// Reads a workload file; throws `std::runtime_error` that says what is wrong.
+/// Reads a workload file; throws `std::runtime_error` with the path and the
+/// cause if it is invalid.
 Workload readWorkload(const std::string &path);
 
 } // namespace hemlockglade::bench
--- a/Bench/Core/hemlockglade_benchMain.cpp
+++ b/Bench/Core/hemlockglade_benchMain.cpp
@@ -9,12 +9,12 @@
 #include <sstream>
 
 DEFINE_string(scenario, "", "name of a workload file without its folder");
-DEFINE_string(workload, "", "workload file; goes before --scenario");
+DEFINE_string(workload, "", "workload file; overrides --scenario");
 DEFINE_string(workloads, "", "folder of the scenarios' workload files");
 DEFINE_string(policy, "ours", "policy under test");
 DEFINE_uint64(seed, 1, "seed of the arrivals");
 DEFINE_bool(json, false, "print JSON on one line");
-DEFINE_string(check, "", "file of bounds that the figures must keep to");
+DEFINE_string(check, "", "file of bounds to check the figures against");
 DEFINE_bool(table, false, "print a table of policies and scenarios");
 DEFINE_string(scenarios, "", "scenarios of the table; all if empty");
 DEFINE_string(policies, "lru,ours,oracle,clairvoyant", "policies of the table");
@@ -27,7 +27,8 @@
 using namespace hemlockglade::bench;
 namespace fs = std::filesystem;
 
-/// The named folder, or the one of the source tree that we were built in.
+/// Returns the folder of --workloads if given; otherwise that of the working
+/// directory, or of the source tree that contains the build folder.
 fs::path workloadFolder() {
   if (!FLAGS_workloads.empty())
     return FLAGS_workloads;
