--- a/UnitTests/Platform/StoreTest.cpp
+++ b/UnitTests/Platform/StoreTest.cpp
@@ -214,7 +214,7 @@
         "/hemlockglade/rows-feed?table=servers&after=5&wait_ms=0");
 }
 
-TEST_CASE("a poll from before the kept history returns HistoryGone",
+TEST_CASE("a poll from before the kept history returns HistoryLost",
           "[store]") {
   StoreFixture it;
   it.Answer = {410, ""};
